--- a/src/base/error.h
+++ b/src/base/error.h
@@ -35,7 +35,7 @@
   kOutcomeUnknown,
   kOwnerChanged,
   kUpstreamFailed,
-  kDomainOut,
+  kDomainOutOfService,
   kRetryBudget,
   kRouteUnknown,
 };
--- a/src/base/http_status.h
+++ b/src/base/http_status.h
@@ -12,11 +12,11 @@
 inline constexpr int kStatusNotFound = 404;
 inline constexpr int kStatusConflict = 409;
 inline constexpr int kStatusGone = 410;
-inline constexpr int kStatusTooLarge = 413;
+inline constexpr int kStatusPayloadTooLarge = 413;
 inline constexpr int kStatusUnprocessable = 422;
-inline constexpr int kStatusBusy = 429;
+inline constexpr int kStatusTooManyRequests = 429;
 inline constexpr int kStatusBadGateway = 502;
 inline constexpr int kStatusUnavailable = 503;
-inline constexpr int kStatusTimeout = 504;
+inline constexpr int kStatusGatewayTimeout = 504;
 
 }  // namespace jaymast
--- a/src/cli/input_files_test.cc
+++ b/src/cli/input_files_test.cc
@@ -37,7 +37,7 @@
   ASSERT_TRUE(intents) << intents.error().reason;
   ASSERT_EQ(intents->size(), 3U);
   EXPECT_EQ(std::get<SetTeamIntent>((*intents)[0]).value, (Team{3, 100}));
-  EXPECT_TRUE(std::get<SetDomainIntent>((*intents)[1]).out);
+  EXPECT_TRUE(std::get<SetDomainIntent>((*intents)[1]).out_of_service);
   EXPECT_EQ(std::get<RunIntent>((*intents)[2]).spec.demand.cpu_millis, 500);
 }
 
--- a/src/cli/key_commands.cc
+++ b/src/cli/key_commands.cc
@@ -25,7 +25,7 @@
 
 ExitCode RunKeysGive(CommandContext& context, const std::string& key, const std::string& team, Role role) {
   const std::string secret = context.random_hex();
-  const GiveKeyIntent intent{KeyId(key), ApiKey{Sha256Hex(secret), TeamId(team), role}};
+  const GrantKeyIntent intent{KeyId(key), ApiKey{Sha256Hex(secret), TeamId(team), role}};
   const ExitCode code = RunApply(context, {intent});
   // The change may have taken effect when the outcome is unknown, so the secret is shown then too.
   if (code == ExitCode::kSuccess || code == ExitCode::kOutcomeUnknown) {
@@ -36,7 +36,7 @@
 }
 
 ExitCode RunKeysWithdraw(CommandContext& context, const std::string& key) {
-  return RunApply(context, {WithdrawKeyIntent{KeyId(key)}});
+  return RunApply(context, {RevokeKeyIntent{KeyId(key)}});
 }
 
 }  // namespace jaymast
--- a/src/configuration/planner.cc
+++ b/src/configuration/planner.cc
@@ -42,14 +42,14 @@
     return std::nullopt;
   }
 
-  std::optional<Error> operator()(const GiveKeyIntent& intent) {
+  std::optional<Error> operator()(const GrantKeyIntent& intent) {
     const bool is_known = m_plan.target.teams.contains(intent.value.team) || intent.value.role == Role::kOperator;
     if (!is_known) return UnknownTeam(intent.value.team);
     m_plan.target.keys[intent.key] = intent.value;
     return std::nullopt;
   }
 
-  std::optional<Error> operator()(const WithdrawKeyIntent& intent) {
+  std::optional<Error> operator()(const RevokeKeyIntent& intent) {
     if (m_plan.target.keys.erase(intent.key) == 0) {
       return Error{ErrorId::kKeyUnknown, "/key", "no key named '" + intent.key.value() + "'"};
     }
@@ -60,14 +60,14 @@
   std::optional<Error> operator()(const SetDomainIntent& intent) {
     const bool is_known = std::any_of(m_facts.instances.upstreams.begin(), m_facts.instances.upstreams.end(),
                                       [&intent](const UpstreamInfo& info) { return info.domain == intent.domain; });
-    if (!is_known && intent.out) {
+    if (!is_known && intent.out_of_service) {
       return Error{ErrorId::kInputField, "/domain", "no upstream is in failure domain '" + intent.domain.value() + "'"};
     }
-    if (!intent.out) {
-      m_plan.target.domains_out.erase(intent.domain);
+    if (!intent.out_of_service) {
+      m_plan.target.domains_out_of_service.erase(intent.domain);
       return std::nullopt;
     }
-    m_plan.target.domains_out.insert(intent.domain);
+    m_plan.target.domains_out_of_service.insert(intent.domain);
     for (const UpstreamInfo& info : m_facts.instances.upstreams) {
       if (info.domain == intent.domain) AddMoves(info.id);
     }
@@ -75,11 +75,11 @@
   }
 
   std::optional<Error> operator()(const SetUpstreamIntent& intent) {
-    if (!intent.out) {
-      m_plan.target.upstreams_out.erase(intent.upstream);
+    if (!intent.out_of_service) {
+      m_plan.target.upstreams_out_of_service.erase(intent.upstream);
       return std::nullopt;
     }
-    m_plan.target.upstreams_out.insert(intent.upstream);
+    m_plan.target.upstreams_out_of_service.insert(intent.upstream);
     AddMoves(intent.upstream);
     return std::nullopt;
   }
@@ -107,8 +107,8 @@
 void AddCapacity(const PlannerFacts& facts, Plan& plan) {
   for (const UpstreamInfo& info : facts.instances.upstreams) {
     Resources& capacity = plan.capacity[info.domain];
-    const bool is_out =
-        info.leaving || plan.target.domains_out.contains(info.domain) || plan.target.upstreams_out.contains(info.id);
+    const bool is_out = info.leaving || plan.target.domains_out_of_service.contains(info.domain) ||
+                        plan.target.upstreams_out_of_service.contains(info.id);
     if (!is_out) capacity += info.capacity;
   }
   for (const auto& [team, value] : plan.target.teams) {
--- a/src/core/entry_node.cc
+++ b/src/core/entry_node.cc
@@ -98,7 +98,7 @@
 Executor::Hooks EntryNode::ExecutorHooks() {
   Executor::Hooks hooks;
   hooks.send = [this](const EntryId& to, const PeerMessage& message) { Send(to, message); };
-  hooks.on_refused = [this](const UpstreamId& id, const OwnerToken& current) { m_ownership.OnRefused(id, current); };
+  hooks.on_refused = [this](const UpstreamId& id, const FencingToken& current) { m_ownership.OnRefused(id, current); };
   hooks.on_unreachable = [this](const UpstreamId& id) { m_ownership.Suspend(id); };
   return hooks;
 }
--- a/src/core/entry_requests.cc
+++ b/src/core/entry_requests.cc
@@ -149,7 +149,7 @@
 void EntryNode::AnswerLate(RequestId id) {
   m_context.After(kOperatorTimeout, [this, id] {
     Response response;
-    response.status = kStatusTimeout;
+    response.status = kStatusGatewayTimeout;
     response.verdict = Verdict::kMayHaveRun;
     response.error = Error{ErrorId::kOutcomeUnknown, "", "the store has not confirmed the change; look at the version"};
     m_effects.Reply(id, response);
--- a/src/core/peer_message.h
+++ b/src/core/peer_message.h
@@ -72,7 +72,7 @@
 };
 
 /// How an attempt ended.
-enum class Outcome { kSucceeded, kFailed, kStopped, kCheckpointed, kLapsed, kNotStarted };
+enum class Outcome { kSucceeded, kFailed, kStopped, kCheckpointed, kExpired, kNotStarted };
 
 template <>
 struct EnumNames<Outcome> {
--- a/src/core/upstream_protocol.h
+++ b/src/core/upstream_protocol.h
@@ -25,21 +25,21 @@
 };
 
 /// Sender of a request to a runner. The epoch is the fencing token of the upstream's owner.
-struct OwnerToken {
+struct FencingToken {
   EntryId owner;
   std::int64_t epoch = 0;
 
-  friend bool operator==(const OwnerToken&, const OwnerToken&) = default;
+  friend bool operator==(const FencingToken&, const FencingToken&) = default;
 };
 
 /// Makes the sender the owner if its epoch is higher than any that the runner accepted.
 struct FenceRequest {
-  OwnerToken token;
+  FencingToken token;
 };
 
 /// Runs a task and waits for its output. Refused as not run after `start_by_ms` on the runner's clock.
 struct RunTaskRequest {
-  OwnerToken token;
+  FencingToken token;
   TaskSpec spec;
   std::int64_t attempt = 0;
   EntryId home;
@@ -48,7 +48,7 @@
 
 /// Starts a task under a lease that ends at `lease_until_ms` on the runner's clock.
 struct StartTaskRequest {
-  OwnerToken token;
+  FencingToken token;
   TaskSpec spec;
   std::int64_t attempt = 0;
   EntryId home;
@@ -58,7 +58,7 @@
 
 /// Renews the leases of tasks up to `lease_until_ms` on the runner's clock and drops acknowledged results.
 struct RenewRequest {
-  OwnerToken token;
+  FencingToken token;
   std::int64_t lease_until_ms = 0;
   std::vector<AttemptId> tasks;
   std::vector<AttemptId> acknowledged;
@@ -72,14 +72,14 @@
 };
 
 struct StopTaskRequest {
-  OwnerToken token;
+  FencingToken token;
   AttemptId id;
   StopMode mode = StopMode::kStop;
 };
 
 using UpstreamRequest = std::variant<FenceRequest, RunTaskRequest, StartTaskRequest, RenewRequest, StopTaskRequest>;
 
-enum class RunnerTaskState { kRunning, kSucceeded, kFailed, kStopped, kCheckpointed, kLapsed };
+enum class RunnerTaskState { kRunning, kSucceeded, kFailed, kStopped, kCheckpointed, kExpired };
 
 template <>
 struct EnumNames<RunnerTaskState> {
@@ -118,7 +118,7 @@
 struct UpstreamReply {
   CallStatus status = CallStatus::kUnknown;
   std::string reason;                                    ///< why the runner refused
-  OwnerToken current;                                    ///< the owner that the runner accepts
+  FencingToken current;                                  ///< the owner that the runner accepts
   std::int64_t previous_epoch = 0;                       ///< highest epoch accepted before a fence; 0 after a restart
   std::int64_t now_ms = 0;                               ///< the runner's clock when it answered
   RunnerTaskState result = RunnerTaskState::kSucceeded;  ///< answer to RunTaskRequest
--- a/src/core/views.cc
+++ b/src/core/views.cc
@@ -57,7 +57,8 @@
   for (const UpstreamInfo& info : node.instances().upstreams) {
     const auto owner = node.ownership().OwnerOf(info.id);
     json::object object = ToJson(info);
-    object["out"] = config.upstreams_out.contains(info.id) || config.domains_out.contains(info.domain);
+    object["out"] =
+        config.upstreams_out_of_service.contains(info.id) || config.domains_out_of_service.contains(info.domain);
     object["owner"] = owner ? owner->value() : std::string();
     const auto owned = node.executor().upstreams().find(info.id);
     if (owned != node.executor().upstreams().end()) {
@@ -111,7 +112,7 @@
   json::array domains;
   for (const auto& [id, domain] : totals) {
     domains.emplace_back(json::object{{"domain", id.value()},
-                                      {"out", node.config().config().domains_out.contains(id)},
+                                      {"out", node.config().config().domains_out_of_service.contains(id)},
                                       {"upstreams", domain.upstreams},
                                       {"leaving", domain.leaving},
                                       {"capacity", ToJson(domain.capacity)}});
--- a/src/load/load_run.cc
+++ b/src/load/load_run.cc
@@ -100,7 +100,7 @@
   std::int64_t start_by_ms = 0;
 };
 
-Result<Baseline> FenceBaseline(const std::string& address, const OwnerToken& token, const LoadOptions& options) {
+Result<Baseline> FenceBaseline(const std::string& address, const FencingToken& token, const LoadOptions& options) {
   BlockingHttpClient client;
   const HttpResult result = client.Call(address, ToHttp(EncodeUpstreamRequest(FenceRequest{token})), options.timeout);
   if (result.status != SendStatus::kAnswered) return Error{ErrorId::kUpstreamFailed, address, result.reason};
@@ -114,7 +114,7 @@
 /// One run: sends the requests on the calling thread and collects answers on the traffic threads.
 class Generator {
  public:
-  Generator(const LoadOptions& options, std::vector<Baseline> baselines, OwnerToken token)
+  Generator(const LoadOptions& options, std::vector<Baseline> baselines, FencingToken token)
       : m_options(options),
         m_baselines(std::move(baselines)),
         m_token(std::move(token)),
@@ -232,7 +232,7 @@
 
   const LoadOptions& m_options;
   const std::vector<Baseline> m_baselines;
-  const OwnerToken m_token;
+  const FencingToken m_token;
   const std::string m_run;
   std::mutex m_mutex;
   std::condition_variable m_answered;
@@ -246,7 +246,7 @@
 
 Result<LoadReport> RunLoad(const LoadOptions& options) {
   // The wall clock as epoch is higher than that of any earlier run against the same runner.
-  const OwnerToken token{EntryId("jaymast-load"), WallMillis()};
+  const FencingToken token{EntryId("jaymast-load"), WallMillis()};
   std::vector<Baseline> baselines;
   for (const std::string& address : options.baselines) {
     Result<Baseline> baseline = FenceBaseline(address, token, options);
--- a/src/model/cluster_config.h
+++ b/src/model/cluster_config.h
@@ -41,8 +41,8 @@
   std::int64_t version = 0;
   std::map<TeamId, Team> teams;
   std::map<KeyId, ApiKey> keys;
-  std::set<DomainId> domains_out;
-  std::set<UpstreamId> upstreams_out;
+  std::set<DomainId> domains_out_of_service;
+  std::set<UpstreamId> upstreams_out_of_service;
   std::map<WorkClass, std::string> policies;  ///< name of the placement policy of a class of work
 
   friend bool operator==(const ClusterConfig&, const ClusterConfig&) = default;
--- a/src/model/codec.cc
+++ b/src/model/codec.cc
@@ -150,20 +150,20 @@
   json::object operator()(const RemoveTeamIntent& intent) const {
     return {{"type", "remove_team"}, {"team", intent.team.value()}};
   }
-  json::object operator()(const GiveKeyIntent& intent) const {
+  json::object operator()(const GrantKeyIntent& intent) const {
     json::object object = KeyToJson(intent.value);
     object["type"] = "give_key";
     object["key"] = intent.key.value();
     return object;
   }
-  json::object operator()(const WithdrawKeyIntent& intent) const {
+  json::object operator()(const RevokeKeyIntent& intent) const {
     return {{"type", "withdraw_key"}, {"key", intent.key.value()}};
   }
   json::object operator()(const SetDomainIntent& intent) const {
-    return {{"type", intent.out ? "domain_out" : "domain_in"}, {"domain", intent.domain.value()}};
+    return {{"type", intent.out_of_service ? "domain_out" : "domain_in"}, {"domain", intent.domain.value()}};
   }
   json::object operator()(const SetUpstreamIntent& intent) const {
-    return {{"type", intent.out ? "upstream_out" : "upstream_in"}, {"upstream", intent.upstream.value()}};
+    return {{"type", intent.out_of_service ? "upstream_out" : "upstream_in"}, {"upstream", intent.upstream.value()}};
   }
   json::object operator()(const SetPolicyIntent& intent) const {
     return {{"type", "set_policy"}, {"class", ToString(intent.work_class)}, {"policy", intent.policy}};
@@ -277,8 +277,8 @@
   return {{"version", config.version},
           {"teams", std::move(teams)},
           {"keys", std::move(keys)},
-          {"domains_out", IdsToJson(config.domains_out)},
-          {"upstreams_out", IdsToJson(config.upstreams_out)},
+          {"domains_out", IdsToJson(config.domains_out_of_service)},
+          {"upstreams_out", IdsToJson(config.upstreams_out_of_service)},
           {"policies", std::move(policies)}};
 }
 
@@ -288,8 +288,8 @@
   config.version = reader.Int("version", 0, 0, kMaxCounter);
   ReadTeams(reader, path, config);
   ReadKeys(reader, path, config);
-  config.domains_out = ReadIds<DomainId>(reader, "domains_out");
-  config.upstreams_out = ReadIds<UpstreamId>(reader, "upstreams_out");
+  config.domains_out_of_service = ReadIds<DomainId>(reader, "domains_out");
+  config.upstreams_out_of_service = ReadIds<UpstreamId>(reader, "upstreams_out");
   ReadPolicies(reader, config);
   return Finish(reader, std::move(config));
 }
@@ -308,9 +308,9 @@
     intent = RemoveTeamIntent{ReadId<TeamTag>(reader, "team")};
   } else if (type == "give_key") {
     const KeyId key = ReadId<KeyTag>(reader, "key");
-    intent = GiveKeyIntent{key, ReadKey(reader)};
+    intent = GrantKeyIntent{key, ReadKey(reader)};
   } else if (type == "withdraw_key") {
-    intent = WithdrawKeyIntent{ReadId<KeyTag>(reader, "key")};
+    intent = RevokeKeyIntent{ReadId<KeyTag>(reader, "key")};
   } else if (type == "domain_out" || type == "domain_in") {
     intent = SetDomainIntent{ReadId<DomainTag>(reader, "domain"), type == "domain_out"};
   } else if (type == "upstream_out" || type == "upstream_in") {
--- a/src/model/codec_test.cc
+++ b/src/model/codec_test.cc
@@ -39,8 +39,8 @@
   config.version = 7;
   config.teams[TeamId("desk")] = Team{3, 100};
   config.keys[KeyId("k1")] = ApiKey{std::string(64, 'a'), TeamId("desk"), Role::kOperator};
-  config.domains_out.insert(DomainId("oslo-1"));
-  config.upstreams_out.insert(UpstreamId("u9"));
+  config.domains_out_of_service.insert(DomainId("oslo-1"));
+  config.upstreams_out_of_service.insert(UpstreamId("u9"));
   config.policies[WorkClass::kBatch] = "best-fit";
   const Result<ClusterConfig> again = ClusterConfigFromJson(ToJson(config), "");
   ASSERT_TRUE(again) << again.error().reason;
--- a/src/model/hostile_input_test.cc
+++ b/src/model/hostile_input_test.cc
@@ -5,8 +5,8 @@
 #include <vector>
 
 #include "model/codec.h"
-#include "model/platform_codec.h"
 #include "model/runner_codec.h"
+#include "model/table_codec.h"
 #include "testing/property_check.h"
 
 namespace jaymast {
--- a/src/model/intent.h
+++ b/src/model/intent.h
@@ -26,23 +26,23 @@
   TeamId team;
 };
 
-struct GiveKeyIntent {
+struct GrantKeyIntent {
   KeyId key;
   ApiKey value;
 };
 
-struct WithdrawKeyIntent {
+struct RevokeKeyIntent {
   KeyId key;
 };
 
 struct SetDomainIntent {
   DomainId domain;
-  bool out = false;
+  bool out_of_service = false;
 };
 
 struct SetUpstreamIntent {
   UpstreamId upstream;
-  bool out = false;
+  bool out_of_service = false;
 };
 
 struct SetPolicyIntent {
@@ -50,7 +50,7 @@
   std::string policy;
 };
 
-using Intent = std::variant<RunIntent, SetTeamIntent, RemoveTeamIntent, GiveKeyIntent, WithdrawKeyIntent,
+using Intent = std::variant<RunIntent, SetTeamIntent, RemoveTeamIntent, GrantKeyIntent, RevokeKeyIntent,
                             SetDomainIntent, SetUpstreamIntent, SetPolicyIntent>;
 
 }  // namespace jaymast
--- a/src/model/runner_codec.cc
+++ b/src/model/runner_codec.cc
@@ -29,13 +29,13 @@
 /// Largest time in a message: 100 years in milliseconds. It can be converted to microseconds without overflow.
 constexpr std::int64_t kMaxTimeMs = 100LL * 365 * 24 * 3600 * 1000;
 
-void WriteToken(json::object& object, const OwnerToken& token) {
+void WriteToken(json::object& object, const FencingToken& token) {
   object["owner"] = token.owner.value();
   object["epoch"] = token.epoch;
 }
 
-OwnerToken ReadToken(FieldReader& reader) {
-  OwnerToken token;
+FencingToken ReadToken(FieldReader& reader) {
+  FencingToken token;
   token.owner = EntryId(reader.RequiredString("owner", kMaxNameBytes));
   token.epoch = reader.Int("epoch", 0, 0, kMaxCounter);
   return token;
--- a/src/model/platform_codec.cc
+++ b/src/model/table_codec.cc
@@ -1,4 +1,4 @@
-#include "model/platform_codec.h"
+#include "model/table_codec.h"
 
 #include <fmt/format.h>
 
--- a/src/model/wire_codec_test.cc
+++ b/src/model/wire_codec_test.cc
@@ -5,8 +5,8 @@
 #include <vector>
 
 #include "model/path.h"
-#include "model/platform_codec.h"
 #include "model/runner_codec.h"
+#include "model/table_codec.h"
 
 namespace jaymast {
 namespace {
@@ -46,7 +46,7 @@
   return items;
 }
 
-OwnerToken Token() { return {EntryId(Name()), Number()}; }
+FencingToken Token() { return {EntryId(Name()), Number()}; }
 AttemptId Attempt() { return {TaskId(Name()), Number()}; }
 Resources Demand() { return {Number(), Number(), *rc::gen::inRange(0, 8), *rc::gen::inRange(1, 8)}; }
 
--- a/src/ownership/ownership.cc
+++ b/src/ownership/ownership.cc
@@ -163,7 +163,7 @@
   if (upstream.is_probing) return;
   upstream.is_probing = true;
   const Time deadline = m_context.Now() + m_context.settings.upstream_call_timeout;
-  const FenceRequest request{OwnerToken{m_context.self, upstream.epoch}};
+  const FenceRequest request{FencingToken{m_context.self, upstream.epoch}};
   m_context.effects.CallUpstream(
       id, upstream.info.address, request, deadline,
       [this, id, epoch = upstream.epoch](const UpstreamReply& reply) { OnFenced(id, epoch, reply); });
@@ -278,7 +278,7 @@
   if (was_owned) m_hooks.on_lost(id);
 }
 
-void Ownership::OnRefused(const UpstreamId& id, const OwnerToken& current) {
+void Ownership::OnRefused(const UpstreamId& id, const FencingToken& current) {
   const auto found = m_upstreams.find(id);
   if (found == m_upstreams.end() || found->second.phase != Phase::kOwned) return;
   Upstream& upstream = found->second;
--- a/src/ownership/ownership.h
+++ b/src/ownership/ownership.h
@@ -67,7 +67,7 @@
   void Evaluate();
 
   /// A runner refused a request of this entry: another owner has fenced it, or it restarted.
-  void OnRefused(const UpstreamId& id, const OwnerToken& current);
+  void OnRefused(const UpstreamId& id, const FencingToken& current);
 
   /// The runner has not answered for longer than a task lease. Raises the epoch in the table, which proves that nobody
   /// else renewed the leases meanwhile, and then reports the lapse.
--- a/src/routing/preview_gateway.cc
+++ b/src/routing/preview_gateway.cc
@@ -121,7 +121,7 @@
   preview.may_have_run = preview.may_have_run || !preview.open_attempts.empty();
   std::string reason = "the deadline passed";
   if (preview.last_error.id != ErrorId::kNone) reason += "; last attempt: " + preview.last_error.reason;
-  Fail(call, kStatusTimeout, Error{ErrorId::kDeadlineExceeded, "", std::move(reason)});
+  Fail(call, kStatusGatewayTimeout, Error{ErrorId::kDeadlineExceeded, "", std::move(reason)});
 }
 
 void PreviewGateway::Fail(std::uint64_t call, int status, Error error) {
--- a/src/routing/router.cc
+++ b/src/routing/router.cc
@@ -17,7 +17,7 @@
 }
 
 bool Router::IsUsable(const TaskSpec& spec, const EntryId& id, const Summary& summary, bool must_fit) const {
-  if (!summary.serving || m_config.config().domains_out.contains(summary.domain)) return false;
+  if (!summary.serving || m_config.config().domains_out_of_service.contains(summary.domain)) return false;
   if (!spec.domain.empty() && spec.domain != summary.domain) return false;
   if (!must_fit) return true;
   const auto debit = m_debits.find(id);
--- a/src/runtime/http_table.h
+++ b/src/runtime/http_table.h
@@ -4,7 +4,7 @@
 #include <string>
 
 #include "core/effects.h"
-#include "model/platform_codec.h"
+#include "model/table_codec.h"
 #include "net/http_client.h"
 
 namespace jaymast {
--- a/src/runtime/settings_test.cc
+++ b/src/runtime/settings_test.cc
@@ -68,7 +68,7 @@
   EXPECT_EQ(config.teams.at(TeamId("desk")), (Team{2, 40}));
   EXPECT_EQ(config.keys.at(KeyId("k1")), (ApiKey{key, TeamId("desk"), Role::kOperator}));
   EXPECT_EQ(config.policies.at(WorkClass::kBatch), "first_fit");
-  EXPECT_EQ(config.domains_out.count(DomainId("south")), 1U);
+  EXPECT_EQ(config.domains_out_of_service.count(DomainId("south")), 1U);
 }
 
 TEST(SettingsTest, ErrorsNameFileLineKeyAndExpectedRange) {
--- a/src/standin/runner_state.cc
+++ b/src/standin/runner_state.cc
@@ -104,7 +104,7 @@
 }
 
 UpstreamReply RunnerState::HandleOne(const FenceRequest& request, Time now) {
-  const OwnerToken& token = request.token;
+  const FencingToken& token = request.token;
   if (token.epoch < m_owner.epoch) return Refuse({}, token, "epoch is lower than the accepted one", now);
   if (token.epoch == m_owner.epoch && token.owner != m_owner.owner) {
     return Refuse({}, token, "epoch is held by another owner", now);
@@ -197,7 +197,7 @@
   return reply;
 }
 
-UpstreamReply RunnerState::Refuse(const AttemptId& id, const OwnerToken& token, std::string_view reason,
+UpstreamReply RunnerState::Refuse(const AttemptId& id, const FencingToken& token, std::string_view reason,
                                   Time now) const {
   Event event = MakeEvent(EventKind::kRunnerRefused, now);
   event.task = id.task;
@@ -212,7 +212,7 @@
   return reply;
 }
 
-std::string_view RunnerState::OwnerRefusal(const OwnerToken& token) const {
+std::string_view RunnerState::OwnerRefusal(const FencingToken& token) const {
   if (IsOwner(token)) return "";
   if (token.epoch < m_owner.epoch) return "epoch is lower than the accepted one";
   if (token.epoch == m_owner.epoch) return "epoch is held by another owner";
@@ -287,7 +287,7 @@
 void RunnerState::Expire(const AttemptId& id, Time at) {
   const RunningTask& task = m_running.at(id);
   const bool over = !m_faults.hang && task.ends && *task.ends <= task.lease_until.value_or(Time::max());
-  if (!over) return End(id, RunnerTaskState::kLapsed, "", at);
+  if (!over) return End(id, RunnerTaskState::kExpired, "", at);
   if (task.fails) return End(id, RunnerTaskState::kFailed, "the task failed", at);
   End(id, RunnerTaskState::kSucceeded, TaskOutput(id.task, task.spec.body), at);
 }
--- a/src/standin/runner_state.h
+++ b/src/standin/runner_state.h
@@ -53,7 +53,7 @@
   void SetFaults(const RunnerFaults& faults) { m_faults = faults; }
   const RunnerFaults& faults() const { return m_faults; }
   const RunnerSettings& settings() const { return m_settings; }
-  const OwnerToken& owner() const { return m_owner; }
+  const FencingToken& owner() const { return m_owner; }
   const Resources& used() const { return m_used; }
   std::size_t running_count() const { return m_running.size(); }
   std::size_t finished_count() const { return m_finished.size(); }
@@ -88,9 +88,9 @@
   UpstreamReply HandleOne(const StopTaskRequest& request, Time now);
 
   UpstreamReply Ok(Time now) const;
-  UpstreamReply Refuse(const AttemptId& id, const OwnerToken& token, std::string_view reason, Time now) const;
-  bool IsOwner(const OwnerToken& token) const { return token == m_owner; }
-  std::string_view OwnerRefusal(const OwnerToken& token) const;
+  UpstreamReply Refuse(const AttemptId& id, const FencingToken& token, std::string_view reason, Time now) const;
+  bool IsOwner(const FencingToken& token) const { return token == m_owner; }
+  std::string_view OwnerRefusal(const FencingToken& token) const;
   std::string_view StartRefusal(const AttemptId& id, const TaskSpec& spec) const;
   bool HasOtherAttempt(const AttemptId& id) const;
 
@@ -110,7 +110,7 @@
   RunnerSettings m_settings;
   EventCallback m_emit;
   RunnerFaults m_faults;
-  OwnerToken m_owner;
+  FencingToken m_owner;
   Resources m_used;
   std::map<AttemptId, RunningTask> m_running;
   std::map<AttemptId, RunnerTask> m_finished;  ///< not yet acknowledged
--- a/src/standin/runner_state_test.cc
+++ b/src/standin/runner_state_test.cc
@@ -14,8 +14,8 @@
 namespace {
 
 constexpr std::int64_t kSlots = 4;
-const OwnerToken kFirst{EntryId("e1"), 1};
-const OwnerToken kSecond{EntryId("e2"), 2};
+const FencingToken kFirst{EntryId("e1"), 1};
+const FencingToken kSecond{EntryId("e2"), 2};
 
 Time At(std::int64_t millis) { return Time(std::chrono::milliseconds(millis)); }
 
@@ -42,9 +42,11 @@
 
 class RunnerStateTest : public ::testing::Test {
  protected:
-  UpstreamReply Fence(const OwnerToken& token, std::int64_t ms) { return m_runner.Handle(FenceRequest{token}, At(ms)); }
+  UpstreamReply Fence(const FencingToken& token, std::int64_t ms) {
+    return m_runner.Handle(FenceRequest{token}, At(ms));
+  }
   UpstreamReply Start(const std::string& id, std::int64_t attempt, std::int64_t lease_ms, std::int64_t ms,
-                      const OwnerToken& token = kFirst) {
+                      const FencingToken& token = kFirst) {
     return m_runner.Handle(StartTaskRequest{token, Spec(id, 100), attempt, EntryId("e1"), "", lease_ms}, At(ms));
   }
   UpstreamReply Stop(const std::string& id, StopMode mode, std::int64_t ms) {
@@ -82,7 +84,7 @@
   const RenewRequest late{kFirst, 200, {{TaskId("t1"), 1}}, {}};
   const UpstreamReply reply = m_runner.Handle(late, At(50));
   ASSERT_EQ(reply.tasks.size(), 1U);
-  EXPECT_EQ(reply.tasks[0].state, RunnerTaskState::kLapsed);
+  EXPECT_EQ(reply.tasks[0].state, RunnerTaskState::kExpired);
   EXPECT_EQ(m_events.back().kind, EventKind::kRunnerEnded);
   EXPECT_EQ(m_events.back().detail, "lapsed");
 }
@@ -218,13 +220,13 @@
 };
 
 /// Most requests are of the owner, because a runner that refuses nearly all of them would test little.
-OwnerToken RandomToken(const OwnerToken& owner) {
+FencingToken RandomToken(const FencingToken& owner) {
   if (owner.epoch > 0 && *rc::gen::inRange(0, 8) > 0) return owner;
   return {EntryId("e" + std::to_string(*rc::gen::inRange(1, 3))), owner.epoch + *rc::gen::inRange(-1, 3)};
 }
 
-UpstreamRequest RandomRequest(const OwnerToken& owner, std::int64_t now_ms) {
-  const OwnerToken token = RandomToken(owner);
+UpstreamRequest RandomRequest(const FencingToken& owner, std::int64_t now_ms) {
+  const FencingToken token = RandomToken(owner);
   const AttemptId id{TaskId("t" + std::to_string(*rc::gen::inRange(0, 20))), *rc::gen::inRange(1, 4)};
   const TaskSpec spec = Spec(id.task.value(), *rc::gen::inRange(1, 200));
   const std::int64_t until_ms = now_ms + *rc::gen::inRange(-20, 200);
--- a/src/standin/table_service.cc
+++ b/src/standin/table_service.cc
@@ -26,17 +26,17 @@
 }
 
 TableService::Answer TableService::Execute(const Transaction& transaction, Time now) {
-  if (!m_writes.Admit(now)) return {kStatusBusy, EncodeCommitReply({CommitStatus::kNotSent, 0})};
+  if (!m_writes.Admit(now)) return {kStatusTooManyRequests, EncodeCommitReply({CommitStatus::kNotSent, 0})};
   return {kStatusOk, EncodeCommitReply(m_store.Commit(transaction))};
 }
 
 TableService::Answer TableService::Execute(const ReadRequest& request, Time now) {
-  if (!m_reads.Admit(now)) return {kStatusBusy, EncodeReadReply({})};
+  if (!m_reads.Admit(now)) return {kStatusTooManyRequests, EncodeReadReply({})};
   return {kStatusOk, EncodeReadReply(m_store.Read(request))};
 }
 
 TableService::Answer TableService::Execute(const LookupRequest& request, Time now) {
-  if (!m_reads.Admit(now)) return {kStatusBusy, EncodeLookupReply({})};
+  if (!m_reads.Admit(now)) return {kStatusTooManyRequests, EncodeLookupReply({})};
   return {kStatusOk, EncodeLookupReply(m_store.Lookup(request.id))};
 }
 
--- a/src/standin/table_service.h
+++ b/src/standin/table_service.h
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "base/time.h"
-#include "model/platform_codec.h"
+#include "model/table_codec.h"
 #include "standin/rate_cap.h"
 #include "standin/table_faults.h"
 #include "standin/table_store.h"
--- a/src/standin_server/platform_server.cc
+++ b/src/standin_server/platform_server.cc
@@ -82,7 +82,7 @@
   HttpResponse ExecuteObject(HttpRequest& request, const std::string& name) {
     if (request.method == "PUT") {
       const bool stored = m_objects.Put(name, std::move(request.body));
-      return HttpResponse{stored ? kStatusNoContent : kStatusTooLarge, {}, ""};
+      return HttpResponse{stored ? kStatusNoContent : kStatusPayloadTooLarge, {}, ""};
     }
     if (request.method == "DELETE") {
       m_objects.Delete(name);
--- a/src/standin_server/standin_site_test.cc
+++ b/src/standin_server/standin_site_test.cc
@@ -8,8 +8,8 @@
 #include <mutex>
 
 #include "model/codec.h"
-#include "model/platform_codec.h"
 #include "model/runner_codec.h"
+#include "model/table_codec.h"
 #include "net/blocking_http_client.h"
 #include "net/io_pool.h"
 #include "standin/task_profile.h"
@@ -26,7 +26,7 @@
 constexpr std::chrono::milliseconds kImpatience{100};
 
 constexpr std::int64_t kDayMs = 24LL * 3600 * 1000;
-const OwnerToken kOwner{EntryId("e1"), 1};
+const FencingToken kOwner{EntryId("e1"), 1};
 
 StandinSettings Settings() {
   StandinSettings settings;
--- a/src/tasks/task_dispatch.cc
+++ b/src/tasks/task_dispatch.cc
@@ -317,7 +317,7 @@
       return ApplyFailure(task, from, result);
     case Outcome::kCheckpointed:
       return Checkpoint(task, from, result);
-    case Outcome::kLapsed:
+    case Outcome::kExpired:
       if (task.spec.semantics == Semantics::kAtMostOnce) {
         return End(task,
                    TaskEnd{EndState::kUnknown, Verdict::kMayHaveRun, ErrorId::kOutcomeUnknown,
@@ -328,7 +328,7 @@
     case Outcome::kNotStarted:
       Acknowledge(from, result.id);
       StopGang(task);
-      return Requeue(task, result.outcome == Outcome::kLapsed ? "the task lease lapsed" : "the start was refused");
+      return Requeue(task, result.outcome == Outcome::kExpired ? "the task lease lapsed" : "the start was refused");
   }
 }
 
--- a/src/tasks/task_response.cc
+++ b/src/tasks/task_response.cc
@@ -15,7 +15,7 @@
     case ErrorId::kIdempotencyMismatch:
       return kStatusConflict;
     case ErrorId::kOutcomeUnknown:
-      return kStatusTimeout;
+      return kStatusGatewayTimeout;
     default:
       return kStatusUnavailable;
   }
--- a/src/testing/invariants/domain_out_checker.h
+++ b/src/testing/invariants/domain_out_checker.h
@@ -18,7 +18,7 @@
     if (upstream == facts().upstreams.end()) return;
     const DomainId& domain = upstream->second.domain;
     const bool in_service = m_history.AnyUsable(
-        event.time, [&domain](const ClusterConfig& config) { return !config.domains_out.contains(domain); });
+        event.time, [&domain](const ClusterConfig& config) { return !config.domains_out_of_service.contains(domain); });
     if (!in_service) Report(event, "failure domain " + domain.value() + " is out of service");
   }
 
--- a/src/testing/invariants/leaving_checker.h
+++ b/src/testing/invariants/leaving_checker.h
@@ -20,8 +20,9 @@
     m_history.OnEvent(event);
     if (event.kind == EventKind::kOwnerFenced) m_owners[{event.upstream, event.epoch}] = event.process;
     if (event.kind != EventKind::kRunnerStarted) return;
-    const bool in_service = m_history.AnyUsable(
-        event.time, [&event](const ClusterConfig& config) { return !config.upstreams_out.contains(event.upstream); });
+    const bool in_service = m_history.AnyUsable(event.time, [&event](const ClusterConfig& config) {
+      return !config.upstreams_out_of_service.contains(event.upstream);
+    });
     if (!in_service) Report(event, "the configuration takes the upstream out of service");
     const std::string& owner = m_owners[{event.upstream, event.epoch}];
     const auto told = facts().leaving_told.find({event.upstream, owner});
--- a/src/testing/invariants_test.cc
+++ b/src/testing/invariants_test.cc
@@ -194,11 +194,11 @@
 // Guards against starts in a failure domain that operators took out of service.
 TEST_F(InvariantsTest, DomainOut) {
   Spec("a");
-  NextConfig().domains_out.insert(DomainId("north"));
+  NextConfig().domains_out_of_service.insert(DomainId("north"));
   EXPECT_EQ(Check({Accepted(1, 2), Started(4000, "a", "u1")}), Ids{"G5"});
   EXPECT_EQ(Check({Accepted(1, 2), Started(4000, "a", "u2")}), Ids{});
   EXPECT_EQ(Check({Accepted(1, 2), Started(2900, "a", "u1")}), Ids{});
-  NextConfig().domains_out.clear();
+  NextConfig().domains_out_of_service.clear();
   const Event returned = EventAt(3500, "e2", EventKind::kConfigCommitted).Config(3);
   EXPECT_EQ(Check({Accepted(1, 2), returned, Started(4000, "a", "u1")}), Ids{}) << "the domain is back";
 }
@@ -277,7 +277,7 @@
   EXPECT_EQ(Check({fenced, Started(3000, "a", "u1")}), Ids{});
   fenced.process = "e2";
   EXPECT_EQ(Check({fenced, Started(3200, "a", "u1")}), Ids{}) << "another entry owns it";
-  NextConfig().upstreams_out.insert(UpstreamId("u2"));
+  NextConfig().upstreams_out_of_service.insert(UpstreamId("u2"));
   EXPECT_EQ(Check({Accepted(1, 2), Started(4000, "a", "u2")}), Ids{"G9"}) << "taken out by the configuration";
 }
 
--- a/src/testing/session_callers.cc
+++ b/src/testing/session_callers.cc
@@ -152,7 +152,7 @@
 void SessionCallers::MakePlan(const SessionCommand& command) {
   const std::optional<Intent> intent = ParseSessionIntent(command);
   if (!intent) return m_world.Note("bad intent: " + command.text);
-  if (const auto* give = std::get_if<GiveKeyIntent>(&*intent)) m_teams[give->key] = give->value.team;
+  if (const auto* give = std::get_if<GrantKeyIntent>(&*intent)) m_teams[give->key] = give->value.team;
   PlanRequest request;
   request.secret = SecretOf(command.Option("key"));
   request.intents.push_back(*intent);
--- a/src/testing/session_intent.cc
+++ b/src/testing/session_intent.cc
@@ -18,8 +18,8 @@
 std::int64_t ToNumber(const std::string& word) { return std::strtoll(word.c_str(), nullptr, 10); }
 
 Intent Give(const Words& words) {
-  return GiveKeyIntent{KeyId(words[0]),
-                       ApiKey{Sha256Hex(SessionCallers::SecretOf(words[0])), TeamId(words[1]), Role::kSubmitter}};
+  return GrantKeyIntent{KeyId(words[0]),
+                        ApiKey{Sha256Hex(SessionCallers::SecretOf(words[0])), TeamId(words[1]), Role::kSubmitter}};
 }
 
 Intent RunService(const Words& words) {
@@ -70,7 +70,7 @@
         [](const Words& w) {
           return SetTeamIntent{TeamId(w[0]), Team{ToNumber(w[1]), ToNumber(w[2])}};
         }}},
-      {"withdraw", {1, [](const Words& w) { return WithdrawKeyIntent{KeyId(w[0])}; }}},
+      {"withdraw", {1, [](const Words& w) { return RevokeKeyIntent{KeyId(w[0])}; }}},
       {"give", {2, Give}},
       {"remove-team", {1, [](const Words& w) { return RemoveTeamIntent{TeamId(w[0])}; }}},
       {"run", {3, RunService}},
--- a/src/upstream/executor.cc
+++ b/src/upstream/executor.cc
@@ -58,7 +58,8 @@
 
 bool Executor::IsOut(const UpstreamInfo& info) const {
   const ClusterConfig& config = m_config.config();
-  return info.leaving || config.domains_out.contains(info.domain) || config.upstreams_out.contains(info.id);
+  return info.leaving || config.domains_out_of_service.contains(info.domain) ||
+         config.upstreams_out_of_service.contains(info.id);
 }
 
 bool Executor::IsEligible(const OwnedUpstream& upstream) const {
@@ -89,7 +90,7 @@
 
 void Executor::LimitReturningDomain() {
   const DomainId& domain = m_context.settings.domain;
-  const bool is_out = m_config.config().domains_out.contains(domain);
+  const bool is_out = m_config.config().domains_out_of_service.contains(domain);
   const bool is_back = std::exchange(m_was_out, is_out) && !is_out;
   if (!is_back) return;
   const Time now = m_context.Now();
@@ -232,7 +233,7 @@
   OwnedUpstream& upstream = m_upstreams.at(task.upstream);
   SetPhase(task, OwnedPhase::kStarting);
   RunTaskRequest request;
-  request.token = OwnerToken{m_context.self, upstream.epoch};
+  request.token = FencingToken{m_context.self, upstream.epoch};
   request.spec = std::move(run.request.spec);
   request.attempt = id.attempt;
   request.home = run.from;
@@ -306,7 +307,7 @@
   OwnedUpstream& upstream = m_upstreams.at(task.upstream);
   SetPhase(task, OwnedPhase::kStarting);
   StartTaskRequest request;
-  request.token = OwnerToken{m_context.self, upstream.epoch};
+  request.token = FencingToken{m_context.self, upstream.epoch};
   request.spec = order.spec;
   request.attempt = id.attempt;
   request.home = task.home;
--- a/src/upstream/executor.h
+++ b/src/upstream/executor.h
@@ -33,7 +33,7 @@
 
   struct Hooks {
     std::function<void(const EntryId&, const PeerMessage&)> send;  ///< to a peer or to this entry
-    std::function<void(const UpstreamId&, const OwnerToken&)> on_refused;
+    std::function<void(const UpstreamId&, const FencingToken&)> on_refused;
     std::function<void(const UpstreamId&)> on_unreachable;  ///< no answer for longer than a task lease
   };
 
--- a/src/upstream/executor_reports.cc
+++ b/src/upstream/executor_reports.cc
@@ -37,10 +37,10 @@
     case RunnerTaskState::kCheckpointed:
       return Outcome::kCheckpointed;
     case RunnerTaskState::kRunning:
-    case RunnerTaskState::kLapsed:
-      return Outcome::kLapsed;
+    case RunnerTaskState::kExpired:
+      return Outcome::kExpired;
   }
-  return Outcome::kLapsed;
+  return Outcome::kExpired;
 }
 
 TaskSpec SpecOf(const RunnerTask& report) {
@@ -157,7 +157,7 @@
   const std::set<AttemptId> tasks = upstream->second.tasks;
   for (const AttemptId& attempt : tasks) {
     const OwnedTask& task = m_tasks.at(attempt);
-    if (IsLeased(task) && IsActive(task)) End(attempt, Outcome::kLapsed, "the task lease lapsed", 0, false);
+    if (IsLeased(task) && IsActive(task)) End(attempt, Outcome::kExpired, "the task lease lapsed", 0, false);
   }
   OnLost(id);
 }
@@ -188,7 +188,7 @@
 
 RenewRequest Executor::MakeRenewRequest(const OwnedUpstream& upstream) const {
   RenewRequest request;
-  request.token = OwnerToken{m_context.self, upstream.epoch};
+  request.token = FencingToken{m_context.self, upstream.epoch};
   request.lease_until_ms = upstream.runner_now_ms + ToMillis(m_context.settings.task_lease);
   for (const AttemptId& id : upstream.tasks) {
     const OwnedTask& task = m_tasks.at(id);
@@ -298,7 +298,7 @@
     return Erase(id);
   }
   if (task.phase != OwnedPhase::kRunning) return;
-  if (!task.is_preview) return End(id, Outcome::kLapsed, "the runner does not know the task", 0, false);
+  if (!task.is_preview) return End(id, Outcome::kExpired, "the runner does not know the task", 0, false);
   FreeCapacity(task);
   Erase(id);
 }
@@ -367,7 +367,7 @@
   TaskResult result;
   result.id = probe.id;
   result.upstream = probe.upstream;
-  result.outcome = probe.epoch < upstream->second.reset_epoch ? Outcome::kLapsed : Outcome::kNotStarted;
+  result.outcome = probe.epoch < upstream->second.reset_epoch ? Outcome::kExpired : Outcome::kNotStarted;
   m_hooks.send(from, result);
 }
 
@@ -392,7 +392,7 @@
 void Executor::CallStop(const AttemptId& id, const OwnedTask& task) {
   const OwnedUpstream& upstream = m_upstreams.at(task.upstream);
   StopTaskRequest request;
-  request.token = OwnerToken{m_context.self, upstream.epoch};
+  request.token = FencingToken{m_context.self, upstream.epoch};
   request.id = id;
   request.mode = task.stop_mode;
   const Time deadline = m_context.Now() + m_context.settings.upstream_call_timeout;
