--- a/src/apps/jaymast_policy_bench.cc
+++ b/src/apps/jaymast_policy_bench.cc
@@ -101,7 +101,7 @@
 
   bool IsAboveLoad() const {
     constexpr std::int64_t kLoadPercent = 90;
-    return m_used.cpu_millis * 100 > m_placer.Capacity().cpu_millis * kLoadPercent;
+    return m_used.cpu_millis * 100 > m_placer.TotalCapacity().cpu_millis * kLoadPercent;
   }
 
   void ReleaseOne() {
--- a/src/apps/policy_simulation.h
+++ b/src/apps/policy_simulation.h
@@ -75,7 +75,7 @@
     m_queue.SetOrder(settings.policies.order);
     m_queue.SetEstimator(&m_estimator);
     for (int i = 0; i < settings.size.workers; ++i) AddWorker(m_workload.Worker(i));
-    for (int i = 0; i < settings.size.teams; ++i) m_shares.SetShare(m_workload.Team(i), m_workload.Share(i));
+    for (int i = 0; i < settings.size.teams; ++i) m_shares.SetWeight(m_workload.Team(i), m_workload.Share(i));
     m_shares.SetCapacity(m_capacity);
   }
 
@@ -259,18 +259,18 @@
       running.upstreams.push_back(*chosen);
     }
     Start(std::move(running), waiting);
-    return OfferOutcome::kTaken;
+    return OfferOutcome::kPlaced;
   }
 
   static OfferOutcome OutcomeOf(const Error& error) {
-    return error.path == "/declared_run_ms" ? OfferOutcome::kReserved : OfferOutcome::kNoCapacity;
+    return error.path == "/declared_run_ms" ? OfferOutcome::kBlockedByReservation : OfferOutcome::kNoCapacity;
   }
 
   void Start(Running running, const WaitingTask& waiting) {
     for (std::size_t i = 0; i < running.members.size(); ++i) {
       m_placer.Reserve(running.upstreams[i], running.members[i], m_now);
     }
-    m_shares.Add(waiting.spec.team, Total(waiting.spec), m_now);
+    m_shares.AddUsage(waiting.spec.team, Total(waiting.spec), m_now);
     const auto task = m_tasks.find(waiting.spec.id);
     running.task = std::move(task->second);
     m_tasks.erase(task);
@@ -307,7 +307,7 @@
     for (std::size_t i = 0; i < running.members.size(); ++i) {
       m_placer.Release(running.upstreams[i], running.members[i], m_now);
     }
-    m_shares.Remove(running.task.spec.team, Total(running.task.spec), m_now);
+    m_shares.RemoveUsage(running.task.spec.team, Total(running.task.spec), m_now);
   }
 
   bool IsMeasured() const { return m_now >= m_measure_from; }
@@ -379,7 +379,7 @@
       used += m_placer.Used(id);
     }
     m_shares.SetCapacity(usable);
-    const auto entitled = m_shares.Entitled(m_demand);
+    const auto entitled = m_shares.ComputeEntitlements(m_demand);
     Resources fractional;
     for (const auto& [team, share] : entitled) {
       fractional += share.amount;
--- a/src/placement/admission_queue.cc
+++ b/src/placement/admission_queue.cc
@@ -85,7 +85,7 @@
 }
 
 std::int64_t AdmissionQueue::RunTime(const TaskSpec& spec) const {
-  const std::int64_t run_ms = m_estimator == nullptr ? spec.declared_run_ms : m_estimator->For(spec).run_ms;
+  const std::int64_t run_ms = m_estimator == nullptr ? spec.declared_run_ms : m_estimator->EstimateFor(spec).run_ms;
   return run_ms > 0 ? run_ms : std::numeric_limits<std::int64_t>::max();
 }
 
--- a/src/placement/admission_queue.h
+++ b/src/placement/admission_queue.h
@@ -33,10 +33,10 @@
 
 /// What became of a task that was offered for placement.
 enum class OfferOutcome {
-  kTaken,
-  kNoCapacity,  ///< does not fit now; equal and larger demands need not be offered
-  kReserved,    ///< capacity is reserved for another task; shorter tasks may fit
-  kRefused,     ///< not placed for a reason that concerns its team only, such as the team's limit
+  kPlaced,
+  kNoCapacity,            ///< does not fit now; equal and larger demands need not be offered
+  kBlockedByReservation,  ///< capacity is reserved for another task; shorter tasks may fit
+  kRefused,               ///< not placed for a reason that concerns its team only, such as the team's limit
 };
 
 /// Order in which waiting tasks are served.
@@ -48,7 +48,7 @@
 
 /// Result of a round of offers.
 struct OfferReport {
-  std::size_t taken = 0;
+  std::size_t placed = 0;
   std::vector<AttemptId> blocked;  ///< first task of each rank that did not fit; candidates for a reserved start
 };
 
--- a/src/placement/admission_queue_offer.cc
+++ b/src/placement/admission_queue_offer.cc
@@ -47,7 +47,8 @@
 };
 
 void AdmissionQueue::Dispatch(Time now, const std::function<bool(const WaitingTask&)>& place) {
-  Offer(now, [&place](const WaitingTask& task) { return place(task) ? OfferOutcome::kTaken : OfferOutcome::kRefused; });
+  Offer(now,
+        [&place](const WaitingTask& task) { return place(task) ? OfferOutcome::kPlaced : OfferOutcome::kRefused; });
 }
 
 OfferReport AdmissionQueue::Offer(Time now, const std::function<OfferOutcome(const WaitingTask&)>& place) {
@@ -67,7 +68,7 @@
   OfferRanked(round);
   m_offering = false;
   m_removed.clear();
-  m_drain_rate.OnTaken(round.report.taken, round.now);
+  m_drain_rate.OnTaken(round.report.placed, round.now);
   DropEmptyQueues();
   return round.report;
 }
@@ -127,9 +128,9 @@
   while (!round.cursors.empty()) {
     Cursor cursor = round.cursors.top();
     round.cursors.pop();
-    if (cursor.taken != round.report.taken) {
+    if (cursor.taken != round.report.placed) {
       // The team may have got capacity since, also through another of its sub-queues.
-      cursor.taken = round.report.taken;
+      cursor.taken = round.report.placed;
       cursor.score = ScoreOf(*cursor.key, round.now);
       round.cursors.push(cursor);
       continue;
@@ -149,7 +150,7 @@
   if (found == cursor.queue->entries.end()) return true;
   if (IsHopeless(round, *cursor.queue, found->second)) return false;
   const OfferOutcome outcome = OfferEntry(round, *cursor.queue, cursor.age);
-  if (outcome == OfferOutcome::kTaken) return true;
+  if (outcome == OfferOutcome::kPlaced) return true;
   ++round.failed_offers[static_cast<std::size_t>(cursor.rank)];
   return false;
 }
@@ -161,18 +162,18 @@
   // The callback may have erased the task, or pushed it again.
   const auto known = m_positions.find(id);
   const bool is_same = known != m_positions.end() && known->second.queue == &queue && known->second.age == age;
-  if (outcome == OfferOutcome::kTaken) {
-    ++round.report.taken;
+  if (outcome == OfferOutcome::kPlaced) {
+    ++round.report.placed;
     if (is_same) TakeOut(Position(known->second));
     return outcome;
   }
-  const bool lacks_capacity = outcome == OfferOutcome::kNoCapacity || outcome == OfferOutcome::kReserved;
+  const bool lacks_capacity = outcome == OfferOutcome::kNoCapacity || outcome == OfferOutcome::kBlockedByReservation;
   const auto rank = static_cast<std::size_t>(RankOf(queue.work_class, age.first, round.now));
   if (lacks_capacity && !std::exchange(round.is_blocked[rank], true)) round.report.blocked.push_back(id);
   if (!is_same) return outcome;
   const Entry& entry = queue.entries.find(age)->second;
   Failure failure{entry.task.spec.demand, entry.task.spec.domain, 0, queue.work_class == WorkClass::kPreview, nullptr};
-  if (outcome == OfferOutcome::kReserved) failure.run_ms = entry.run_ms;
+  if (outcome == OfferOutcome::kBlockedByReservation) failure.run_ms = entry.run_ms;
   if (outcome == OfferOutcome::kRefused) failure.only = &queue;
   Remember(round, std::move(failure));
   return outcome;
--- a/src/placement/admission_queue_test.cc
+++ b/src/placement/admission_queue_test.cc
@@ -39,7 +39,7 @@
 TEST(AdmissionQueueTest, ServesByClassThenShareThenAge) {
   FairShare shares;
   shares.SetCapacity({32'000, 32'768, 0, 32});
-  shares.Add(TeamId("busy"), {8'000, 8'192, 0, 8}, kStart);
+  shares.AddUsage(TeamId("busy"), {8'000, 8'192, 0, 8}, kStart);
   AdmissionQueue queue(shares, 100);
   queue.Push(Waiting("batch-busy", WorkClass::kBatch, "busy", kStart));
   queue.Push(Waiting("batch-idle-2", WorkClass::kBatch, "idle", kStart + seconds(2)));
@@ -88,7 +88,7 @@
     if (task.spec.team == TeamId("b")) return OfferOutcome::kRefused;
     if (task.spec.demand.cpu_millis > 10'000) return OfferOutcome::kNoCapacity;
     taken.push_back(task.id.task.value());
-    return OfferOutcome::kTaken;
+    return OfferOutcome::kPlaced;
   });
   EXPECT_EQ(taken, (std::vector<std::string>{"other", "small"}));
   ASSERT_EQ(report.blocked.size(), 1U);
@@ -115,7 +115,7 @@
         if (full) return false;
         full = true;
         served = served || task.id.task == TaskId("old");
-        shares.Add(task.spec.team, task.spec.demand, now);
+        shares.AddUsage(task.spec.team, task.spec.demand, now);
         return true;
       });
     }
--- a/src/placement/estimator.cc
+++ b/src/placement/estimator.cc
@@ -18,12 +18,12 @@
   kind.learned = Quantiles(kind, spec, 0);
 }
 
-bool Estimator::IsTrusted(const TaskSpec& spec) const {
+bool Estimator::HasEnoughObservations(const TaskSpec& spec) const {
   const auto kind = m_kinds.find(KeyOf(spec));
   return kind != m_kinds.end() && kind->second.count >= kTrusted;
 }
 
-Estimate Estimator::For(const TaskSpec& spec) const {
+Estimate Estimator::EstimateFor(const TaskSpec& spec) const {
   const auto known = m_kinds.find(KeyOf(spec));
   if (known == m_kinds.end()) return {spec.declared_run_ms, spec.demand};
   const Kind& kind = known->second;
--- a/src/placement/estimator.h
+++ b/src/placement/estimator.h
@@ -36,10 +36,10 @@
   static constexpr std::size_t kMaxKinds = 4096;
 
   void Record(const TaskSpec& spec, std::int64_t run_ms, const Resources& peak_usage);
-  Estimate For(const TaskSpec& spec) const;
+  Estimate EstimateFor(const TaskSpec& spec) const;
 
   /// Whether enough tasks of the team and kind have finished for the declared values not to count any more.
-  bool IsTrusted(const TaskSpec& spec) const;
+  bool HasEnoughObservations(const TaskSpec& spec) const;
 
   std::size_t MemoryBytes() const;
 
--- a/src/placement/estimator_test.cc
+++ b/src/placement/estimator_test.cc
@@ -18,28 +18,28 @@
 TEST(EstimatorTest, LearnsNinetiethPercentileFromWrongDeclarations) {
   Estimator estimator;
   const TaskSpec spec = TestTask("t", WorkClass::kBatch, {1'000, 1'000, 0, 1});
-  EXPECT_EQ(estimator.For(spec).run_ms, 10'000);
-  EXPECT_EQ(estimator.For(spec).size, spec.demand);
+  EXPECT_EQ(estimator.EstimateFor(spec).run_ms, 10'000);
+  EXPECT_EQ(estimator.EstimateFor(spec).size, spec.demand);
   for (int i = 1; i <= 100; ++i) estimator.Record(spec, 1'000 + i, {200, 300, 0, 1});
   estimator.Record(spec, 3'600'000, {200, 300, 0, 1});
   // The window holds runs of 1,038 to 1,100 ms and the extreme one; its 58th value of 64 is the percentile.
-  EXPECT_EQ(estimator.For(spec).run_ms, 1'095);
-  EXPECT_EQ(estimator.For(spec).size, (Resources{200, 300, 0, 1}));
+  EXPECT_EQ(estimator.EstimateFor(spec).run_ms, 1'095);
+  EXPECT_EQ(estimator.EstimateFor(spec).size, (Resources{200, 300, 0, 1}));
   TaskSpec other = spec;
   other.team = TeamId("other");
-  EXPECT_EQ(estimator.For(other).run_ms, 10'000);
+  EXPECT_EQ(estimator.EstimateFor(other).run_ms, 10'000);
 }
 
 TEST(EstimatorTest, DeclaredValuesCountUntilEnoughTasksFinished) {
   Estimator estimator;
   TaskSpec spec = TestTask("t", WorkClass::kBatch, {1'000, 1'000, 0, 1});
   for (int i = 0; i < 9; ++i) estimator.Record(spec, 100, spec.demand);
-  EXPECT_EQ(estimator.For(spec).run_ms, 10'000);
+  EXPECT_EQ(estimator.EstimateFor(spec).run_ms, 10'000);
   spec.declared_run_ms = 0;
-  EXPECT_EQ(estimator.For(spec).run_ms, 100);
+  EXPECT_EQ(estimator.EstimateFor(spec).run_ms, 100);
   spec.declared_run_ms = 10'000;
   estimator.Record(spec, 100, spec.demand);
-  EXPECT_EQ(estimator.For(spec).run_ms, 100);
+  EXPECT_EQ(estimator.EstimateFor(spec).run_ms, 100);
 }
 
 /// Guards against unbounded state when submitters use a new kind for each task.
@@ -50,9 +50,9 @@
     spec.kind = std::to_string(i);
     for (int n = 0; n < 10; ++n) estimator.Record(spec, 1, spec.demand);
   }
-  EXPECT_EQ(estimator.For(spec).run_ms, 1);
+  EXPECT_EQ(estimator.EstimateFor(spec).run_ms, 1);
   spec.kind = "0";
-  EXPECT_EQ(estimator.For(spec).run_ms, 10'000);
+  EXPECT_EQ(estimator.EstimateFor(spec).run_ms, 10'000);
 }
 
 TEST(OverrunTest, ActionsComeInOrder) {
--- a/src/placement/failure_attribution.cc
+++ b/src/placement/failure_attribution.cc
@@ -50,7 +50,7 @@
   return known == m_workers.end() ? std::nullopt : known->second.quarantined_until;
 }
 
-bool FailureAttribution::IsBadJob(const TaskId& task) const {
+bool FailureAttribution::IsFaultyJob(const TaskId& task) const {
   const auto known = m_jobs.find(StableHash(task.value()));
   return known != m_jobs.end() && known->second.bad;
 }
--- a/src/placement/failure_attribution.h
+++ b/src/placement/failure_attribution.h
@@ -59,9 +59,9 @@
   std::optional<Time> QuarantinedUntil(const UpstreamId& upstream) const;
 
   /// Whether the job failed on enough good workers to be failed for good.
-  bool IsBadJob(const TaskId& task) const;
+  bool IsFaultyJob(const TaskId& task) const;
 
-  void Forget(const UpstreamId& upstream) { m_workers.erase(upstream); }
+  void RemoveUpstream(const UpstreamId& upstream) { m_workers.erase(upstream); }
 
   std::size_t MemoryBytes() const;
 
--- a/src/placement/failure_attribution_test.cc
+++ b/src/placement/failure_attribution_test.cc
@@ -30,7 +30,7 @@
   Time now = kStart;
   int starts_on_bad = 0;
   for (int job = 0; job < kJobs; ++job) {
-    for (bool done = false; !done && !attribution.IsBadJob(Job(job).id);) {
+    for (bool done = false; !done && !attribution.IsFaultyJob(Job(job).id);) {
       now += std::chrono::milliseconds(50);
       const int worker = static_cast<int>(random() % kWorkers);
       if (!attribution.MayStart(Worker(worker), now)) continue;
@@ -43,7 +43,7 @@
   for (int worker = 0; worker < kWorkers; ++worker) {
     EXPECT_EQ(attribution.QuarantinedUntil(Worker(worker)).has_value(), is_bad_worker(worker)) << worker;
   }
-  for (int job = 0; job < kJobs; ++job) EXPECT_EQ(attribution.IsBadJob(Job(job).id), is_bad_job(job)) << job;
+  for (int job = 0; job < kJobs; ++job) EXPECT_EQ(attribution.IsFaultyJob(Job(job).id), is_bad_job(job)) << job;
   EXPECT_LT(starts_on_bad, 60);
 }
 
--- a/src/placement/fair_share.cc
+++ b/src/placement/fair_share.cc
@@ -23,7 +23,7 @@
 
 FairShare::FairShare(Duration half_life) : m_half_life_us(static_cast<double>(half_life.count())) {}
 
-void FairShare::SetShare(const TeamId& team, std::int64_t share) {
+void FairShare::SetWeight(const TeamId& team, std::int64_t share) {
   m_usage[team].weight = std::max(static_cast<double>(share), kMinWeight);
 }
 
@@ -33,19 +33,19 @@
   for (std::size_t i = 0; i < amounts.size(); ++i) m_inverse_capacity[i] = amounts[i] > 0 ? 1.0 / amounts[i] : 0.0;
 }
 
-void FairShare::Add(const TeamId& team, const Resources& used, Time now) {
+void FairShare::AddUsage(const TeamId& team, const Resources& used, Time now) {
   Usage& usage = m_usage[team];
   Advance(usage, now);
   usage.declared += used;
 }
 
-void FairShare::Remove(const TeamId& team, const Resources& used, Time now) {
+void FairShare::RemoveUsage(const TeamId& team, const Resources& used, Time now) {
   Usage& usage = m_usage[team];
   Advance(usage, now);
   usage.declared -= used;
 }
 
-void FairShare::Report(const TeamId& team, const Resources& used, Time now) {
+void FairShare::ReportUsage(const TeamId& team, const Resources& used, Time now) {
   Usage& usage = m_usage[team];
   Advance(usage, now);
   const Amounts reported = ToAmounts(used);
@@ -71,7 +71,7 @@
   return known == m_usage.end() ? Resources{} : known->second.declared;
 }
 
-std::map<TeamId, Entitlement> FairShare::Entitled(const std::map<TeamId, Resources>& demand) const {
+std::map<TeamId, Entitlement> FairShare::ComputeEntitlements(const std::map<TeamId, Resources>& demand) const {
   std::vector<ProgressiveFilling::Claim> claims;
   claims.reserve(demand.size());
   for (const auto& [team, wanted] : demand) claims.push_back({WeightOf(team), ToAmounts(wanted)});
--- a/src/placement/fair_share.h
+++ b/src/placement/fair_share.h
@@ -23,18 +23,18 @@
 
   explicit FairShare(Duration half_life = kDefaultHalfLife);
 
-  void SetShare(const TeamId& team, std::int64_t share);
+  void SetWeight(const TeamId& team, std::int64_t share);
   void SetCapacity(const Resources& capacity);
 
   /// A task of the team began to use capacity.
-  void Add(const TeamId& team, const Resources& used, Time now);
+  void AddUsage(const TeamId& team, const Resources& used, Time now);
 
   /// A task of the team stopped using capacity.
-  void Remove(const TeamId& team, const Resources& used, Time now);
+  void RemoveUsage(const TeamId& team, const Resources& used, Time now);
 
   /// Usage of all tasks of the team as the workers report it. Until the next report, the amounts given to Add and
   /// Remove are scaled by the ratio of this usage to their sum.
-  void Report(const TeamId& team, const Resources& used, Time now);
+  void ReportUsage(const TeamId& team, const Resources& used, Time now);
 
   /// Dominant share of the team divided by its weight. The team with the lowest score is served next.
   ///
@@ -49,7 +49,7 @@
   /// met or a resource that the team needs is used up. Share that a team does not demand is lent to the others.
   /// @param demand running and waiting demand of each team
   /// Complexity: quadratic in the number of teams.
-  std::map<TeamId, Entitlement> Entitled(const std::map<TeamId, Resources>& demand) const;
+  std::map<TeamId, Entitlement> ComputeEntitlements(const std::map<TeamId, Resources>& demand) const;
 
   /// Chooses tasks to checkpoint on one upstream so that a waiting task of a team below its share fits there.
   ///
--- a/src/placement/fair_share_test.cc
+++ b/src/placement/fair_share_test.cc
@@ -23,12 +23,12 @@
     shares.SetCapacity(kCapacity);
     std::map<TeamId, Resources> demand;
     for (int i = 0; i < 20; ++i) {
-      shares.SetShare(Team(i), 1 + static_cast<std::int64_t>(random() % 9));
+      shares.SetWeight(Team(i), 1 + static_cast<std::int64_t>(random() % 9));
       const auto tasks = static_cast<std::int64_t>(20 + random() % 200);
       demand[Team(i)] = {tasks * static_cast<std::int64_t>(random() % 500), tasks * 500, 0, tasks};
     }
     Resources total;
-    for (const auto& [team, entitled] : shares.Entitled(demand)) {
+    for (const auto& [team, entitled] : shares.ComputeEntitlements(demand)) {
       EXPECT_TRUE(entitled.amount.FitsIn(demand[team]));
       total += entitled.amount;
     }
@@ -43,13 +43,13 @@
 TEST(FairShareTest, EntitledSharesFollowWeightsAndLendIdleShare) {
   FairShare shares;
   shares.SetCapacity({0, 0, 0, 100});
-  shares.SetShare(Team(0), 1);
-  shares.SetShare(Team(1), 3);
+  shares.SetWeight(Team(0), 1);
+  shares.SetWeight(Team(1), 3);
   const Resources much{0, 0, 0, 1'000};
-  auto entitled = shares.Entitled({{Team(0), much}, {Team(1), much}});
+  auto entitled = shares.ComputeEntitlements({{Team(0), much}, {Team(1), much}});
   EXPECT_NEAR(entitled[Team(0)].dominant_share, 0.25, 1e-9);
   EXPECT_NEAR(entitled[Team(1)].dominant_share, 0.75, 1e-9);
-  entitled = shares.Entitled({{Team(0), much}, {Team(1), {0, 0, 0, 10}}});
+  entitled = shares.ComputeEntitlements({{Team(0), much}, {Team(1), {0, 0, 0, 10}}});
   EXPECT_NEAR(entitled[Team(0)].dominant_share, 0.9, 1e-9);
   EXPECT_NEAR(entitled[Team(1)].dominant_share, 0.1, 1e-9);
 }
@@ -58,7 +58,8 @@
 TEST(FairShareTest, DominantSharesAreEqualized) {
   FairShare shares;
   shares.SetCapacity({9'000, 18'000, 0, 0});
-  const auto entitled = shares.Entitled({{Team(0), {100'000, 400'000, 0, 0}}, {Team(1), {300'000, 100'000, 0, 0}}});
+  const auto entitled =
+      shares.ComputeEntitlements({{Team(0), {100'000, 400'000, 0, 0}}, {Team(1), {300'000, 100'000, 0, 0}}});
   EXPECT_NEAR(entitled.at(Team(0)).dominant_share, 2.0 / 3, 1e-6);
   EXPECT_NEAR(entitled.at(Team(1)).dominant_share, 2.0 / 3, 1e-6);
 }
@@ -66,16 +67,16 @@
 TEST(FairShareTest, ScoreDecaysAndFollowsReports) {
   FairShare shares;
   shares.SetCapacity({0, 1'000, 0, 100});
-  shares.SetShare(Team(0), 2);
+  shares.SetWeight(Team(0), 2);
   EXPECT_EQ(shares.Score(Team(0), kStart), 0);
-  shares.Add(Team(0), {0, 500, 0, 1}, kStart);
+  shares.AddUsage(Team(0), {0, 500, 0, 1}, kStart);
   const double at_start = shares.Score(Team(0), kStart);
   EXPECT_GT(at_start, 0);
   const Time later = kStart + std::chrono::minutes(50);
   EXPECT_NEAR(shares.Score(Team(0), later), 0.25, 0.001);
-  shares.Report(Team(0), {0, 100, 0, 1}, later);
+  shares.ReportUsage(Team(0), {0, 100, 0, 1}, later);
   EXPECT_NEAR(shares.Score(Team(0), later + std::chrono::minutes(50)), 0.05, 0.001);
-  shares.Remove(Team(0), {0, 500, 0, 1}, later);
+  shares.RemoveUsage(Team(0), {0, 500, 0, 1}, later);
   EXPECT_NEAR(shares.Score(Team(0), later + std::chrono::minutes(50)), 0, 0.001);
 }
 
@@ -90,7 +91,7 @@
     std::map<TeamId, Resources> demand;
     for (int i = 0; i < 64; ++i) {
       const TeamId team = Team(static_cast<int>(random() % 3 + random() % 2));
-      shares.Add(team, {0, 0, 0, 1}, kStart);
+      shares.AddUsage(team, {0, 0, 0, 1}, kStart);
       demand[team] += {0, 0, 0, 1};
       candidates.push_back({{TaskId(std::to_string(i)), 1},
                             team,
@@ -103,7 +104,7 @@
     request.team = Team(9);
     request.demand = {0, 0, 0, 2};
     demand[request.team] = {0, 0, 0, 16};
-    request.entitled = shares.Entitled(demand);
+    request.entitled = shares.ComputeEntitlements(demand);
     for (int i = 0; i < 8; ++i) request.free[UpstreamId("u" + std::to_string(i))] = {};
     const auto victims = shares.ChooseVictims(request, candidates);
     if (victims.empty()) continue;
@@ -131,10 +132,10 @@
 TEST(FairShareTest, TeamAtItsShareGetsNoVictims) {
   FairShare shares;
   shares.SetCapacity({0, 0, 0, 10});
-  shares.Add(Team(0), {0, 0, 0, 5}, kStart);
-  shares.Add(Team(1), {0, 0, 0, 5}, kStart);
+  shares.AddUsage(Team(0), {0, 0, 0, 5}, kStart);
+  shares.AddUsage(Team(1), {0, 0, 0, 5}, kStart);
   PreemptionRequest request{Team(0), {0, 0, 0, 1}, 4, {}, {{UpstreamId("u"), {}}}};
-  request.entitled = shares.Entitled({{Team(0), {0, 0, 0, 20}}, {Team(1), {0, 0, 0, 20}}});
+  request.entitled = shares.ComputeEntitlements({{Team(0), {0, 0, 0, 20}}, {Team(1), {0, 0, 0, 20}}});
   const PreemptionCandidate candidate{{TaskId("x"), 1}, Team(1), UpstreamId("u"), {0, 0, 0, 1}, 1, true};
   EXPECT_TRUE(shares.ChooseVictims(request, {candidate}).empty());
 }
--- a/src/placement/placement_benchmark.cc
+++ b/src/placement/placement_benchmark.cc
@@ -106,7 +106,7 @@
   for (std::int64_t i = 0; i < state.range(0); ++i) {
     demand[TeamId("team" + std::to_string(i))] = {1'000 * (i % 400), 4'000 * (400 - i), i % 3, 100 + i};
   }
-  for (auto _ : state) benchmark::DoNotOptimize(shares.Entitled(demand));
+  for (auto _ : state) benchmark::DoNotOptimize(shares.ComputeEntitlements(demand));
 }
 BENCHMARK(EntitledShares)->Arg(6)->Arg(150);
 
--- a/src/placement/placer.cc
+++ b/src/placement/placer.cc
@@ -99,7 +99,7 @@
   const auto index = m_table.Find(id);
   if (!index) return;
   Hold(*index, spec, now);
-  CancelStart(spec);
+  CancelReservedStart(spec);
   m_ramp.OnStart(m_table.row(*index).domain, now);
   if (spec.work_class == WorkClass::kService) m_spread.Add(SpreadCounts::KeyOf(spec), m_table.row(*index), 1);
 }
@@ -122,9 +122,9 @@
   return reservation->start;
 }
 
-void Placer::CancelStart(const TaskSpec& spec) { m_backfill.Cancel(StableHash(spec.id.value())); }
+void Placer::CancelReservedStart(const TaskSpec& spec) { m_backfill.Cancel(StableHash(spec.id.value())); }
 
-Resources Placer::Free() const {
+Resources Placer::FreeCapacity() const {
   Resources free;
   for (Index index = 0; index < m_table.slots(); ++index) {
     if (m_table.row(index).open_slots > 0) free += NotNegative(m_table.open(index));
@@ -132,7 +132,7 @@
   return free;
 }
 
-Resources Placer::LargestFree() const {
+Resources Placer::LargestFreeCapacity() const {
   Resources largest;
   for (Index index = 0; index < m_table.slots(); ++index) {
     const Resources& free = m_table.open(index);
@@ -310,7 +310,7 @@
 
 Time Placer::ExpectedEnd(const TaskSpec& spec, Time now) const {
   if (spec.work_class == WorkClass::kService) return Time::max();
-  const std::int64_t run_ms = m_estimator == nullptr ? spec.declared_run_ms : m_estimator->For(spec).run_ms;
+  const std::int64_t run_ms = m_estimator == nullptr ? spec.declared_run_ms : m_estimator->EstimateFor(spec).run_ms;
   // A task without a known run time must not be taken to end before a reserved start.
   if (run_ms <= 0) return Time::max();
   return now + std::chrono::milliseconds(run_ms);
--- a/src/placement/placer.h
+++ b/src/placement/placer.h
@@ -74,15 +74,15 @@
   /// Reserves a start for a blocked task, so that tasks behind it are placed only if they do not delay it.
   /// @return the expected start, or nothing when no start can be reserved
   std::optional<Time> ReserveStart(const TaskSpec& spec, Time now);
-  void CancelStart(const TaskSpec& spec);
+  void CancelReservedStart(const TaskSpec& spec);
 
   /// Sum of the free capacity of all eligible upstreams.
-  Resources Free() const;
+  Resources FreeCapacity() const;
 
   /// Free capacity of the eligible upstream with the most free processors.
-  Resources LargestFree() const;
+  Resources LargestFreeCapacity() const;
 
-  Resources Capacity() const { return m_table.capacity(); }
+  Resources TotalCapacity() const { return m_table.capacity(); }
   Resources Used(const UpstreamId& id) const;
 
   /// Previews that are kept free from other work at present.
--- a/src/upstream/executor.cc
+++ b/src/upstream/executor.cc
@@ -74,12 +74,12 @@
 
 void Executor::UpdateEligibility() {
   for (const auto& [id, upstream] : m_upstreams) m_placer.SetEligible(id, IsEligible(upstream));
-  m_fair_share.SetCapacity(m_placer.Capacity());
+  m_fair_share.SetCapacity(m_placer.TotalCapacity());
 }
 
 void Executor::OnConfig() {
   const ClusterConfig& config = m_config.config();
-  for (const auto& [id, team] : config.teams) m_fair_share.SetShare(id, team.share);
+  for (const auto& [id, team] : config.teams) m_fair_share.SetWeight(id, team.share);
   m_placer.SetPolicies(config.policies);
   LimitReturningDomain();
   UpdateEligibility();
@@ -118,7 +118,7 @@
   const WaitingTask waiting{id, run.request.spec, from, now, now + remaining / 2};
   run.request.spec.body = std::move(body);
   m_waiting_runs.insert_or_assign(id, std::move(run));
-  if (m_queue.size() == 0 && Place(waiting) == OfferOutcome::kTaken) return;
+  if (m_queue.size() == 0 && Place(waiting) == OfferOutcome::kPlaced) return;
   const bool may_wait = m_membership.MayStart() && HasUsableUpstream();
   if (!may_wait || !m_queue.Push(waiting)) return RefuseWaiting(waiting);
   Dispatch();
@@ -129,7 +129,7 @@
   const AttemptId id{request.spec.id, request.attempt};
   if (m_tasks.contains(id)) return;
   const WaitingTask waiting{id, request.spec, from, now, now + kHoldWait};
-  if (m_queue.size() == 0 && Place(waiting) == OfferOutcome::kTaken) return;
+  if (m_queue.size() == 0 && Place(waiting) == OfferOutcome::kPlaced) return;
   if (!m_queue.Push(waiting)) return RefuseWaiting(waiting);
   Dispatch();
 }
@@ -152,7 +152,7 @@
   std::optional<AttemptId> first;
   if (!report.blocked.empty()) first = report.blocked.front();
   if (m_reserved == first) return;
-  if (m_reserved) m_placer.CancelStart(m_reserved_spec);
+  if (m_reserved) m_placer.CancelReservedStart(m_reserved_spec);
   m_reserved = std::nullopt;
   const WaitingTask* blocked = first ? m_queue.Find(*first) : nullptr;
   if (blocked == nullptr || !m_placer.ReserveStart(blocked->spec, m_context.Now())) return;
@@ -166,7 +166,7 @@
   const Result<UpstreamId> upstream = m_placer.Choose(waiting.spec, m_context.Now());
   if (!upstream) {
     const bool is_reserved = upstream.error().path == "/declared_run_ms";
-    return is_reserved ? OfferOutcome::kReserved : OfferOutcome::kNoCapacity;
+    return is_reserved ? OfferOutcome::kBlockedByReservation : OfferOutcome::kNoCapacity;
   }
   if (!m_allotments.TryTake(waiting.spec.team)) return OfferOutcome::kRefused;
   OwnedTask& task = Hold(waiting, *upstream);
@@ -178,13 +178,13 @@
     reply.upstream = *upstream;
     reply.epoch = m_upstreams.at(*upstream).epoch;
     m_hooks.send(waiting.from, reply);
-    return OfferOutcome::kTaken;
+    return OfferOutcome::kPlaced;
   }
   task.is_preview = true;
   WaitingRun taken = std::move(run->second);
   m_waiting_runs.erase(run);
   StartRun(waiting.id, std::move(taken));
-  return OfferOutcome::kTaken;
+  return OfferOutcome::kPlaced;
 }
 
 OwnedTask& Executor::Hold(const WaitingTask& waiting, const UpstreamId& upstream) {
@@ -198,7 +198,7 @@
   m_attribution.OnStart(upstream, now);
   m_upstreams.at(upstream).tasks.insert(waiting.id);
   m_placer.Reserve(upstream, waiting.spec, now);
-  m_fair_share.Add(waiting.spec.team, waiting.spec.demand, now);
+  m_fair_share.AddUsage(waiting.spec.team, waiting.spec.demand, now);
   UpdateEligibility(upstream);
   return task;
 }
@@ -339,8 +339,8 @@
     case CallStatus::kOk:
       SetPhase(task, OwnedPhase::kRunning);
       // Declared run times are far off, so only learned ones count as a bound.
-      if (m_estimator.IsTrusted(task.spec)) {
-        task.overrun = OverrunDeadlines::ForRunTime(task.spec, m_estimator.For(task.spec), m_context.Now());
+      if (m_estimator.HasEnoughObservations(task.spec)) {
+        task.overrun = OverrunDeadlines::ForRunTime(task.spec, m_estimator.EstimateFor(task.spec), m_context.Now());
       }
       if (task.stop_requested) CallStop(id, task);
       return;
@@ -426,8 +426,8 @@
   Summary summary;
   summary.domain = m_context.settings.domain;
   summary.serving = m_membership.MayStart() && HasUsableUpstream();
-  summary.free = m_placer.Free();
-  summary.largest_free = m_placer.LargestFree();
+  summary.free = m_placer.FreeCapacity();
+  summary.largest_free = m_placer.LargestFreeCapacity();
   summary.config_version = m_config.config().version;
   return summary;
 }
--- a/src/upstream/executor_reports.cc
+++ b/src/upstream/executor_reports.cc
@@ -99,7 +99,7 @@
   upstream.tasks.insert(report.id);
   SetPhase(task, OwnedPhase::kRunning);
   m_placer.Reserve(id, task.spec, m_context.Now());
-  m_fair_share.Add(task.spec.team, task.spec.demand, m_context.Now());
+  m_fair_share.AddUsage(task.spec.team, task.spec.demand, m_context.Now());
   m_allotments.CountInherited(task.spec.team, 1);
   if (report.state != RunnerTaskState::kRunning) {
     End(report.id, OutcomeOf(report.state), report.output, report.run_ms, true);
@@ -116,7 +116,7 @@
     if (IsActive(task)) {
       ++lent[task.spec.team];
       m_lost_attempts[attempt] = m_context.Now() + kLostAttemptMemory;
-      m_fair_share.Remove(task.spec.team, task.spec.demand, m_context.Now());
+      m_fair_share.RemoveUsage(task.spec.team, task.spec.demand, m_context.Now());
     } else if (task.phase == OwnedPhase::kHeld) {
       FreeCapacity(task);
     }
@@ -177,7 +177,7 @@
   for (const AttemptId& id : upstream.tasks) {
     const OwnedTask& task = m_tasks.at(id);
     if (task.is_preview || task.phase != OwnedPhase::kRunning) continue;
-    const std::int64_t run_ms = m_estimator.For(task.spec).run_ms;
+    const std::int64_t run_ms = m_estimator.EstimateFor(task.spec).run_ms;
     const Time end = task.phase_since + std::chrono::milliseconds(run_ms);
     // A task without an estimate, or long past its expected end, waits for the regular renewal.
     const bool is_predictable = run_ms > 0 && upstream.answered_at < end + kOverdue;
@@ -316,7 +316,7 @@
 void Executor::FreeCapacity(const OwnedTask& task) {
   const Time now = m_context.Now();
   m_placer.Release(task.upstream, task.spec, now);
-  m_fair_share.Remove(task.spec.team, task.spec.demand, now);
+  m_fair_share.RemoveUsage(task.spec.team, task.spec.demand, now);
   m_allotments.Release(task.spec.team);
 }
 
