--- a/src/core/entry_node.cc
+++ b/src/core/entry_node.cc
@@ -60,9 +60,9 @@
       m_table(m_context),
       m_config(m_context, [this] { OnConfigInstalled(); }),
       m_membership(m_context, m_table, MembershipHooks(std::move(on_lease_lost))),
-      m_allotments(m_context, m_table, m_config, m_membership,
-                   Allotments::Hooks{[this] { m_executor.Dispatch(); },
-                                     [this] { return m_executor.placer().FreeCapacity().slots; }}),
+      m_allotments(
+          m_context, m_table, m_config, m_membership,
+          Allotments::Hooks{[this] { m_executor.Dispatch(); }, [this] { return m_executor.placer().Free().slots; }}),
       m_executor(m_context, m_config, m_membership, m_allotments, ExecutorHooks()),
       m_ownership(m_context, m_table, m_membership, OwnershipHooks()),
       m_router(m_context, m_config, m_membership, m_executor),
--- a/src/core/views.cc
+++ b/src/core/views.cc
@@ -28,7 +28,7 @@
           {"entries_on_older_config", std::move(lagging)},
           {"entries", static_cast<std::int64_t>(membership.peers().size() + 1)},
           {"owned_upstreams", static_cast<std::int64_t>(node.ownership().OwnedCount())},
-          {"free", ToJson(node.executor().placer().FreeCapacity())},
+          {"free", ToJson(node.executor().placer().Free())},
           {"capacity", ToJson(node.executor().placer().TotalCapacity())},
           {"running", static_cast<std::int64_t>(node.executor().RunningCount())},
           {"waiting_at_owner", static_cast<std::int64_t>(node.executor().waiting())},
@@ -151,7 +151,7 @@
   }
   const HomeTask& task = found->second;
   json::object object = TaskRow(task);
-  const Resources free = node.executor().placer().FreeCapacity();
+  const Resources free = node.executor().placer().Free();
   const std::int64_t used = node.allotments().Used(task.spec.team);
   object["reason"] = task.phase == TaskPhase::kEnded ? task.end.output : task.wait_reason;
   object["demand"] = ToJson(task.spec.demand);
--- a/src/placement/placer.cc
+++ b/src/placement/placer.cc
@@ -124,7 +124,7 @@
 
 void Placer::CancelReservedStart(const TaskSpec& spec) { m_backfill.Cancel(StableHash(spec.id.value())); }
 
-Resources Placer::FreeCapacity() const {
+Resources Placer::Free() const {
   Resources free;
   for (Index index = 0; index < m_table.slots(); ++index) {
     if (m_table.row(index).open_slots > 0) free += NotNegative(m_table.open(index));
@@ -132,7 +132,7 @@
   return free;
 }
 
-Resources Placer::LargestFreeCapacity() const {
+Resources Placer::LargestFree() const {
   Resources largest;
   for (Index index = 0; index < m_table.slots(); ++index) {
     const Resources& free = m_table.open(index);
--- a/src/placement/placer.h
+++ b/src/placement/placer.h
@@ -77,10 +77,10 @@
   void CancelReservedStart(const TaskSpec& spec);
 
   /// Sum of the free capacity of all eligible upstreams.
-  Resources FreeCapacity() const;
+  Resources Free() const;
 
   /// Free capacity of the eligible upstream with the most free processors.
-  Resources LargestFreeCapacity() const;
+  Resources LargestFree() const;
 
   Resources TotalCapacity() const { return m_table.capacity(); }
   Resources Used(const UpstreamId& id) const;
--- a/src/placement/placer_test.cc
+++ b/src/placement/placer_test.cc
@@ -234,15 +234,15 @@
   placer.PutUpstream(grown);
   EXPECT_EQ(placer.Used(grown.id), kSmall);
   EXPECT_EQ(placer.TotalCapacity().slots, 19 * 8 + 16);
-  EXPECT_EQ(placer.FreeCapacity().slots, 19 * 8 + 15);
+  EXPECT_EQ(placer.Free().slots, 19 * 8 + 15);
   grown.leaving = true;
   placer.PutUpstream(grown);
-  EXPECT_EQ(placer.FreeCapacity().slots, 19 * 8);
+  EXPECT_EQ(placer.Free().slots, 19 * 8);
   placer.RemoveUpstream(grown.id);
   placer.Release(grown.id, spec, kStart);
   EXPECT_EQ(placer.TotalCapacity().slots, 19 * 8);
   EXPECT_EQ(placer.FreePreviews(), 19 * 8);
-  EXPECT_EQ(placer.FreeCapacity().slots, 19 * 8);
+  EXPECT_EQ(placer.Free().slots, 19 * 8);
 }
 
 }  // namespace
--- a/src/routing/router.cc
+++ b/src/routing/router.cc
@@ -42,7 +42,7 @@
 std::int64_t Router::FreeSlots(const EntryId& id) const {
   const auto debit = m_debits.find(id);
   const std::int64_t debited = debit == m_debits.end() ? 0 : debit->second.slots;
-  if (id == m_context.self) return m_executor.placer().FreeCapacity().slots - debited;
+  if (id == m_context.self) return m_executor.placer().Free().slots - debited;
   const auto peer = m_membership.peers().find(id);
   return peer == m_membership.peers().end() ? 0 : peer->second.summary.free.slots - debited;
 }
--- a/src/upstream/executor.cc
+++ b/src/upstream/executor.cc
@@ -426,8 +426,8 @@
   Summary summary;
   summary.domain = m_context.settings.domain;
   summary.serving = m_membership.MayStart() && HasUsableUpstream();
-  summary.free = m_placer.FreeCapacity();
-  summary.largest_free = m_placer.LargestFreeCapacity();
+  summary.free = m_placer.Free();
+  summary.largest_free = m_placer.LargestFree();
   summary.config_version = m_config.config().version;
   return summary;
 }
