--- a/src/configuration/operations.cc
+++ b/src/configuration/plan_service.cc
@@ -1,4 +1,4 @@
-#include "configuration/operations.h"
+#include "configuration/plan_service.h"
 
 #include <fmt/format.h>
 
@@ -63,8 +63,8 @@
 
 }  // namespace
 
-Operations::Operations(Context& context, TableClient& table, ConfigStore& config, const Membership& membership,
-                       TaskManager& tasks, Hooks hooks)
+PlanService::PlanService(Context& context, TableClient& table, ConfigStore& config, const Membership& membership,
+                         TaskManager& tasks, Hooks hooks)
     : m_context(context),
       m_table(table),
       m_config(config),
@@ -72,7 +72,7 @@
       m_tasks(tasks),
       m_hooks(std::move(hooks)) {}
 
-void Operations::Fail(RequestId request, int status, Error error, Verdict verdict) {
+void PlanService::Fail(RequestId request, int status, Error error, Verdict verdict) {
   Response response;
   response.status = status;
   response.verdict = verdict;
@@ -80,13 +80,13 @@
   m_context.effects.Reply(request, response);
 }
 
-void Operations::Plan(RequestId request, const std::vector<Intent>& intents) {
+void PlanService::Plan(RequestId request, const std::vector<Intent>& intents) {
   const Result<jaymast::Plan> plan = MakePlan(m_config.config(), intents, m_hooks.facts());
   if (!plan) return Fail(request, kStatusBadRequest, plan.error(), Verdict::kNotRun);
   StorePlan(request, *plan, kStatusOk, "");
 }
 
-void Operations::StorePlan(RequestId request, const jaymast::Plan& plan, int status, const std::string& note) {
+void PlanService::StorePlan(RequestId request, const jaymast::Plan& plan, int status, const std::string& note) {
   jaymast::Plan stored = plan;
   stored.id = PlanId(fmt::format("{}-p{}", m_context.self.value(), m_next_plan++));
   const std::string text = json::serialize(EncodeIntents(stored.base_version, stored.intents));
@@ -112,7 +112,7 @@
                  });
 }
 
-void Operations::Confirm(RequestId request, const PlanId& plan, std::int64_t base_version) {
+void PlanService::Confirm(RequestId request, const PlanId& plan, std::int64_t base_version) {
   ReadRequest read;
   read.keys = {PlanKey(plan), ConfirmedKey(plan), std::string(kConfigKey)};
   ++m_open_plans;
@@ -122,7 +122,7 @@
   });
 }
 
-void Operations::OnPlanRead(RequestId request, const PlanId& id, std::int64_t base_version, const ReadReply& reply) {
+void PlanService::OnPlanRead(RequestId request, const PlanId& id, std::int64_t base_version, const ReadReply& reply) {
   if (!reply.available) {
     return Fail(request, kStatusUnavailable,
                 Error{ErrorId::kStoreUnavailable, "", "no change can be confirmed while the store is unreachable"},
@@ -147,14 +147,14 @@
   CommitPlan(request, id, plan_row->version, *plan);
 }
 
-void Operations::Conflict(RequestId request, const std::vector<Intent>& intents) {
+void PlanService::Conflict(RequestId request, const std::vector<Intent>& intents) {
   const Result<jaymast::Plan> plan = MakePlan(m_config.config(), intents, m_hooks.facts());
   if (!plan) return Fail(request, kStatusConflict, plan.error(), Verdict::kNotRun);
   StorePlan(request, *plan, kStatusConflict, "the configuration has changed; this is a new plan");
 }
 
-void Operations::CommitPlan(RequestId request, const PlanId& id, std::int64_t plan_row_version,
-                            const jaymast::Plan& plan) {
+void PlanService::CommitPlan(RequestId request, const PlanId& id, std::int64_t plan_row_version,
+                             const jaymast::Plan& plan) {
   jaymast::Plan confirmed = plan;
   confirmed.id = id;
   const bool changes_config = confirmed.target != m_config.config();
@@ -187,7 +187,7 @@
                  });
 }
 
-void Operations::OnCommitted(RequestId request, const jaymast::Plan& plan, bool changes_config, std::int64_t version) {
+void PlanService::OnCommitted(RequestId request, const jaymast::Plan& plan, bool changes_config, std::int64_t version) {
   if (HasRuns(plan.intents)) SubmitRuns(plan.id, plan.intents);
   WaitingConfirm waiting{request, plan.target.version, m_context.Now() + kInForceTarget};
   if (!changes_config) return AnswerConfirm(waiting, {});
@@ -202,7 +202,7 @@
   CheckAcknowledgements();
 }
 
-void Operations::SubmitRuns(const PlanId& id, const std::vector<Intent>& intents) {
+void PlanService::SubmitRuns(const PlanId& id, const std::vector<Intent>& intents) {
   if (!m_submitting.insert(id).second) return;
   std::vector<TaskSpec> specs;
   for (const Intent& intent : intents) {
@@ -220,7 +220,7 @@
   });
 }
 
-void Operations::OnConfirmedRows(const std::vector<Row>& rows) {
+void PlanService::OnConfirmedRows(const std::vector<Row>& rows) {
   for (const Row& row : rows) {
     const PlanId id(row.key.substr(kConfirmedPrefix.size()));
     const Result<StoredPlan> plan = DecodeIntents(row.value);
@@ -228,7 +228,7 @@
   }
 }
 
-std::vector<EntryId> Operations::NotInForce(const std::vector<Row>& rows, std::int64_t version) const {
+std::vector<EntryId> PlanService::FindEntriesOnOlderConfig(const std::vector<Row>& rows, std::int64_t version) const {
   std::set<EntryId> missing;
   std::set<EntryId> present;
   for (const Row& row : rows) {
@@ -250,7 +250,7 @@
   return {missing.begin(), missing.end()};
 }
 
-void Operations::CheckAcknowledgements() {
+void PlanService::CheckAcknowledgements() {
   if (m_checking || m_waiting.empty()) return;
   m_checking = true;
   ReadRequest request;
@@ -260,19 +260,19 @@
     std::vector<WaitingConfirm> done;
     for (const auto& [request_id, waiting] : m_waiting) {
       const bool is_late = m_context.Now() >= waiting.answer_at;
-      const bool is_in_force = reply.available && NotInForce(reply.rows, waiting.version).empty();
+      const bool is_in_force = reply.available && FindEntriesOnOlderConfig(reply.rows, waiting.version).empty();
       if (is_in_force || is_late) done.push_back(waiting);
     }
     for (const WaitingConfirm& waiting : done) {
       m_waiting.erase(waiting.request);
-      AnswerConfirm(waiting, reply.available ? NotInForce(reply.rows, waiting.version)
+      AnswerConfirm(waiting, reply.available ? FindEntriesOnOlderConfig(reply.rows, waiting.version)
                                              : std::vector<EntryId>{EntryId("unknown: the store is unreachable")});
     }
     if (!m_waiting.empty()) m_context.After(kCheckInterval, [this] { CheckAcknowledgements(); });
   });
 }
 
-void Operations::AnswerConfirm(const WaitingConfirm& waiting, const std::vector<EntryId>& not_in_force) {
+void PlanService::AnswerConfirm(const WaitingConfirm& waiting, const std::vector<EntryId>& not_in_force) {
   json::array missing;
   for (const EntryId& id : not_in_force) {
     missing.emplace_back(json::object{{"entry", id.value()}, {"domain", DomainOf(id).value()}});
--- a/src/configuration/operations.h
+++ b/src/configuration/plan_service.h
@@ -25,15 +25,15 @@
 inline constexpr std::string_view kConfirmedPrefix = "confirmed/";
 
 /// Plans and confirmations of operators.
-class Operations {
+class PlanService {
  public:
   struct Hooks {
     std::function<PlannerFacts()> facts;
     std::function<void(const ClusterConfig&)> push;  ///< tells all entries of a new configuration
   };
 
-  Operations(Context& context, TableClient& table, ConfigStore& config, const Membership& membership,
-             TaskManager& tasks, Hooks hooks);
+  PlanService(Context& context, TableClient& table, ConfigStore& config, const Membership& membership,
+              TaskManager& tasks, Hooks hooks);
 
   /// Answers intents with a plan. The plan is kept in the table, so that any entry can confirm it.
   void Plan(RequestId request, const std::vector<Intent>& intents);
@@ -46,7 +46,7 @@
 
   /// Takes in the lease records and owner rows of the whole fleet while a change waits for acknowledgements.
   /// @return entries that may still start work under an older version
-  std::vector<EntryId> NotInForce(const std::vector<Row>& rows, std::int64_t version) const;
+  std::vector<EntryId> FindEntriesOnOlderConfig(const std::vector<Row>& rows, std::int64_t version) const;
 
   bool IsIdle() const { return m_open_plans == 0 && m_waiting.empty(); }
 
--- a/src/core/entry_node.cc
+++ b/src/core/entry_node.cc
@@ -81,17 +81,17 @@
 
 Ownership::Hooks EntryNode::OwnershipHooks() {
   Ownership::Hooks hooks;
-  hooks.on_acquired = [this](const Acquisition& acquisition) { m_executor.OnAcquired(acquisition); };
-  hooks.on_lost = [this](const UpstreamId& id) { m_executor.OnLost(id); };
-  hooks.on_covered = [this](const UpstreamId& id) { m_allotments.Settle(id); };
-  hooks.prepare_cover = [this](const UpstreamId& id, const EntryId& from,
-                               const std::function<void(CoverChange)>& done) {
-    m_executor.PrepareCover(id, from, done);
+  hooks.on_acquired = [this](const AcquiredUpstream& acquisition) { m_executor.OnAcquired(acquisition); };
+  hooks.on_ownership_lost = [this](const UpstreamId& id) { m_executor.OnOwnershipLost(id); };
+  hooks.on_allotments_transferred = [this](const UpstreamId& id) { m_allotments.OnTransferred(id); };
+  hooks.prepare_allotment_transfer = [this](const UpstreamId& id, const EntryId& from,
+                                            const std::function<void(AllotmentTransfer)>& done) {
+    m_executor.PrepareAllotmentTransfer(id, from, done);
   };
   hooks.on_committed = [this](const UpstreamId& id) { m_executor.OnCommitted(id); };
-  hooks.on_lapsed = [this](const UpstreamId& id) { m_executor.OnLapsed(id); };
+  hooks.on_leases_expired = [this](const UpstreamId& id) { m_executor.OnLeasesExpired(id); };
   hooks.on_handed_over = [this] { SendSummary(); };
-  hooks.on_gone = [this](const UpstreamId& id) { m_allotments.Unlend(id); };
+  hooks.on_removed = [this](const UpstreamId& id) { m_allotments.DropRetainedUsage(id); };
   return hooks;
 }
 
@@ -99,12 +99,12 @@
   Executor::Hooks hooks;
   hooks.send = [this](const EntryId& to, const PeerMessage& message) { Send(to, message); };
   hooks.on_refused = [this](const UpstreamId& id, const OwnerToken& current) { m_ownership.OnRefused(id, current); };
-  hooks.on_unreachable = [this](const UpstreamId& id) { m_ownership.Suspend(id); };
+  hooks.on_unreachable = [this](const UpstreamId& id) { m_ownership.ExpireTaskLeases(id); };
   return hooks;
 }
 
-Operations::Hooks EntryNode::OperationsHooks() {
-  Operations::Hooks hooks;
+PlanService::Hooks EntryNode::OperationsHooks() {
+  PlanService::Hooks hooks;
   hooks.facts = [this] { return Facts(); };
   hooks.push = [this](const ClusterConfig& config) { Push(config); };
   return hooks;
@@ -150,13 +150,13 @@
   const std::string own_prefix = std::string(kEntryPrefix) + m_context.settings.domain.value() + ".";
   request.prefixes.push_back(is_full ? std::string(kEntryPrefix) : own_prefix);
   if (has_owners) request.prefixes.push_back(OwnerPrefix(m_context.settings.domain));
-  const std::set<EntryId> absent = m_allotments.AbsentHolders();
+  const std::set<EntryId> absent = m_allotments.HoldersWithoutLease();
   m_table.Read(request, [this, is_full, has_owners, absent](const ReadReply& reply) {
     m_syncing = false;
     if (!reply.available) m_membership.OnReadFailed();
     if (reply.available) OnSynced(is_full, has_owners, reply);
     if (reply.available && has_owners && IsServing()) ReclaimAllotments(absent);
-    m_ownership.Evaluate();
+    m_ownership.Reconcile();
   });
 }
 
@@ -205,12 +205,12 @@
 void EntryNode::ReclaimAllotments(const std::set<EntryId>& absent_before_read) {
   // A holder had a lease record when it wrote the row. If a later read finds none, the entry is gone for good.
   const Time now = m_context.Now();
-  const std::set<EntryId> absent_now = m_allotments.AbsentHolders();
+  const std::set<EntryId> absent_now = m_allotments.HoldersWithoutLease();
   std::erase_if(m_absent, [&absent_now](const auto& item) { return !absent_now.contains(item.first); });
   for (const EntryId& id : absent_now) {
     if (absent_before_read.contains(id)) m_absent.try_emplace(id, now + kReclaimDelay);
   }
-  if (!m_ownership.IsAllCovered()) return;
+  if (!m_ownership.IsEveryUpstreamFenced()) return;
   for (const auto& [id, due] : m_absent) {
     const bool is_reclaimer = PreferredEntry(id.value(), m_membership.OwnerCandidates()) == m_context.self;
     if (now >= due && is_reclaimer) m_allotments.ReclaimFrom(id);
@@ -227,15 +227,15 @@
       }
       return;
     case EntryState::kRecovering:
-      m_ownership.Evaluate();
-      if ((m_ownership.IsSettled() && HasRoute()) || m_context.Now() >= m_recover_until) {
+      m_ownership.Reconcile();
+      if ((m_ownership.HasFencedOwnUpstreams() && HasRoute()) || m_context.Now() >= m_recover_until) {
         m_membership.Handle(LifecycleEvent::kRecovered);
       }
       return;
     case EntryState::kServing:
     case EntryState::kIsolated:
       m_membership.ExpirePeers();
-      return m_ownership.Evaluate();
+      return m_ownership.Reconcile();
     case EntryState::kDraining:
       return AdvanceDrain();
     case EntryState::kStopped:
@@ -247,7 +247,7 @@
   if (m_executor.HasUsableUpstream()) return true;
   const auto& peers = m_membership.peers();
   return std::any_of(peers.begin(), peers.end(), [this](const auto& item) {
-    return m_membership.IsHeard(item.first) && item.second.summary.serving;
+    return m_membership.HasRecentHeartbeat(item.first) && item.second.summary.serving;
   });
 }
 
@@ -257,7 +257,7 @@
   m_drain_until = m_context.Now() + m_context.settings.drain_wait;
   m_tasks.StopAccepting();
   m_executor.RefuseAllWaiting();
-  m_ownership.ReleaseAll();
+  m_ownership.HandOverAll();
 }
 
 void EntryNode::AdvanceDrain() {
@@ -265,7 +265,7 @@
   if (m_tasks.HasWaiters() && m_context.Now() < m_drain_until) return;
   m_tasks.Drain();
   const bool is_quiet = m_previews.open() == 0 && m_executor.OpenRuns() == 0 && m_tasks.IsQuiet() &&
-                        m_operations.IsIdle() && !m_ownership.IsReleasing();
+                        m_operations.IsIdle() && !m_ownership.IsHandingOver();
   if (!is_quiet || m_membership.IsLeaving()) return;
   m_membership.Leave([this] { m_membership.Handle(LifecycleEvent::kDrained); });
 }
--- a/src/core/entry_node.h
+++ b/src/core/entry_node.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "configuration/config_store.h"
-#include "configuration/operations.h"
+#include "configuration/plan_service.h"
 #include "core/context.h"
 #include "core/entry_settings.h"
 #include "core/guarded_effects.h"
@@ -67,7 +67,7 @@
   Membership::Hooks MembershipHooks(std::function<void()> on_lease_lost);
   Ownership::Hooks OwnershipHooks();
   Executor::Hooks ExecutorHooks();
-  Operations::Hooks OperationsHooks();
+  PlanService::Hooks OperationsHooks();
 
   void Sync();
   void ReadTable();
@@ -116,7 +116,7 @@
   Router m_router;
   PreviewGateway m_previews;
   TaskManager m_tasks;
-  Operations m_operations;
+  PlanService m_operations;
   InstanceList m_instances;
   std::map<EntryId, Time> m_absent;  ///< holders of allotments without a lease record, and when to reclaim them
   Time m_next_full_read;
--- a/src/core/views.cc
+++ b/src/core/views.cc
@@ -55,7 +55,7 @@
   json::array upstreams;
   const ClusterConfig& config = node.config().config();
   for (const UpstreamInfo& info : node.instances().upstreams) {
-    const auto owner = node.ownership().OwnerOf(info.id);
+    const auto owner = node.ownership().FindOwner(info.id);
     json::object object = ToJson(info);
     object["out"] = config.upstreams_out.contains(info.id) || config.domains_out.contains(info.domain);
     object["owner"] = owner ? owner->value() : std::string();
@@ -131,7 +131,7 @@
                                       {"domain", peer.record.domain.value()},
                                       {"state", ToString(peer.record.state)},
                                       {"config_version", peer.record.config_version},
-                                      {"heard", node.membership().IsHeard(id)}});
+                                      {"heard", node.membership().HasRecentHeartbeat(id)}});
   }
   return entries;
 }
--- a/src/limits/allotments.cc
+++ b/src/limits/allotments.cc
@@ -73,7 +73,7 @@
   return state == m_teams.end() ? 0 : state->second.used;
 }
 
-bool Allotments::TryTake(const TeamId& team) {
+bool Allotments::TryAcquire(const TeamId& team) {
   TeamState& state = m_teams[team];
   if (state.used < Allowed(team)) {
     ++state.used;
@@ -88,8 +88,8 @@
 
 void Allotments::CountInherited(const TeamId& team, std::int64_t count) { m_teams[team].used += count; }
 
-void Allotments::PrepareMove(const std::map<TeamId, std::int64_t>& counts, const EntryId& from,
-                             std::function<void(std::vector<Condition>, std::vector<Write>)> done) {
+void Allotments::PrepareTransfer(const std::map<TeamId, std::int64_t>& counts, const EntryId& from,
+                                 std::function<void(std::vector<Condition>, std::vector<Write>)> done) {
   if (counts.empty() || from.empty() || from == m_context.self) return done({}, {});
   ReadRequest request;
   for (const auto& [team, count] : counts) request.keys.push_back(RowKey(team));
@@ -123,13 +123,13 @@
   }
 }
 
-void Allotments::Lend(const UpstreamId& upstream, const std::map<TeamId, std::int64_t>& counts) {
+void Allotments::RetainUsage(const UpstreamId& upstream, const std::map<TeamId, std::int64_t>& counts) {
   Lent& lent = m_lent[upstream];
   lent.sequence = m_next_lent++;
   for (const auto& [team, count] : counts) lent.counts[team] += count;
 }
 
-void Allotments::Settle(const UpstreamId& upstream) {
+void Allotments::OnTransferred(const UpstreamId& upstream) {
   const auto lent = m_lent.find(upstream);
   if (lent == m_lent.end()) return;
   ReadRequest request;
@@ -138,18 +138,18 @@
   const std::uint64_t sequence = lent->second.sequence;
   m_table.Read(request, [this, upstream, sequence](const ReadReply& reply) {
     if (!reply.available) {
-      m_context.After(kSettleRetryInterval, [this, upstream] { Settle(upstream); });
+      m_context.After(kSettleRetryInterval, [this, upstream] { OnTransferred(upstream); });
       return;
     }
     for (const Row& row : reply.rows) {
       if (!OnRow(TeamId(row.key.substr(kRowPrefix.size())), {row})) return;
     }
     const auto current = m_lent.find(upstream);
-    if (current != m_lent.end() && current->second.sequence == sequence) Unlend(upstream);
+    if (current != m_lent.end() && current->second.sequence == sequence) DropRetainedUsage(upstream);
   });
 }
 
-void Allotments::Unlend(const UpstreamId& upstream) {
+void Allotments::DropRetainedUsage(const UpstreamId& upstream) {
   const auto lent = m_lent.find(upstream);
   if (lent == m_lent.end()) return;
   for (const auto& [team, count] : lent->second.counts) m_teams[team].used -= count;
@@ -235,19 +235,20 @@
     if (missing > 0) AskHolders(team, missing);
     return;
   }
-  m_table.Commit(
-      {{RowKey(team), state.row_version}, m_membership.IsMember()}, {{RowKey(team), EncodeAllotments(holders)}},
-      [this, team, change, holders](CommitOutcome outcome, std::int64_t version) {
-        TeamState& current = m_teams[team];
-        current.adjusting = false;
-        if (outcome == CommitOutcome::kConflict) {
-          m_context.After(m_context.Jittered(kConflictBackoff), [this, team, change] { Update(team, change); });
-          return;
-        }
-        current.wanted = 0;
-        if (outcome != CommitOutcome::kCommitted) return;
-        OnCommitted(team, holders, version);
-      });
+  m_table.Commit({{RowKey(team), state.row_version}, m_membership.MembershipCondition()},
+                 {{RowKey(team), EncodeAllotments(holders)}},
+                 [this, team, change, holders](CommitOutcome outcome, std::int64_t version) {
+                   TeamState& current = m_teams[team];
+                   current.adjusting = false;
+                   if (outcome == CommitOutcome::kConflict) {
+                     m_context.After(m_context.Jittered(kConflictBackoff),
+                                     [this, team, change] { Update(team, change); });
+                     return;
+                   }
+                   current.wanted = 0;
+                   if (outcome != CommitOutcome::kCommitted) return;
+                   OnCommitted(team, holders, version);
+                 });
 }
 
 void Allotments::EmitChange(const TeamId& team) {
@@ -263,7 +264,7 @@
   if (m_context.Now() < state.next_request) return;
   state.next_request = m_context.Now() + kRequestInterval;
   for (const auto& [entry, held] : state.holders) {
-    const bool is_askable = held > 0 && entry != m_context.self && m_membership.IsHeard(entry);
+    const bool is_askable = held > 0 && entry != m_context.self && m_membership.HasRecentHeartbeat(entry);
     if (is_askable) m_context.effects.SendPeer(entry, AllotmentRequest{team, amount});
   }
   // Asks for what the holders have returned by then.
@@ -288,12 +289,12 @@
   });
 }
 
-std::set<EntryId> Allotments::AbsentHolders() const {
+std::set<EntryId> Allotments::HoldersWithoutLease() const {
   std::set<EntryId> absent;
   for (const auto& [team, state] : m_teams) {
     for (const auto& [entry, amount] : state.holders) {
       const bool is_near = amount > 0 && DomainOf(entry) == m_context.settings.domain;
-      if (is_near && !m_membership.HasRecord(entry)) absent.insert(entry);
+      if (is_near && !m_membership.HasLeaseRecord(entry)) absent.insert(entry);
     }
   }
   return absent;
--- a/src/limits/allotments.h
+++ b/src/limits/allotments.h
@@ -33,7 +33,7 @@
   void Start();
 
   /// Takes one for a task that starts. When none is left, more is requested.
-  bool TryTake(const TeamId& team);
+  bool TryAcquire(const TeamId& team);
 
   /// A task that took one has surely ended, or was never started.
   void Release(const TeamId& team);
@@ -43,27 +43,27 @@
 
   /// Prepares moving the allotment for inherited tasks from another holder.
   /// @param done gets the row conditions and writes; does not run when the store cannot be read
-  void PrepareMove(const std::map<TeamId, std::int64_t>& counts, const EntryId& from,
-                   std::function<void(std::vector<Condition>, std::vector<Write>)> done);
+  void PrepareTransfer(const std::map<TeamId, std::int64_t>& counts, const EntryId& from,
+                       std::function<void(std::vector<Condition>, std::vector<Write>)> done);
 
   /// Reads the rows of some teams again.
   void Refresh(const std::vector<TeamId>& teams);
 
-  /// Tasks run on an upstream that this entry lost. They stay counted until Settle(), so that the allotment which moves
-  /// with them is not used here as well.
-  void Lend(const UpstreamId& upstream, const std::map<TeamId, std::int64_t>& counts);
+  /// Tasks run on an upstream that this entry lost. They stay counted until OnTransferred(), so that the allotment
+  /// which moves with them is not used here as well.
+  void RetainUsage(const UpstreamId& upstream, const std::map<TeamId, std::int64_t>& counts);
 
   /// The new owner's allotments cover the tasks of a lost upstream.
-  void Settle(const UpstreamId& upstream);
+  void OnTransferred(const UpstreamId& upstream);
 
   /// Drops the count of the tasks of a lost upstream at once: it was acquired again, or it is gone for good.
-  void Unlend(const UpstreamId& upstream);
+  void DropRetainedUsage(const UpstreamId& upstream);
 
   /// Another entry asks for unused allotment.
   void OnRequest(const TeamId& team, std::int64_t amount);
 
   /// Holders of the own failure domain that have no lease record as far as this entry knows.
-  std::set<EntryId> AbsentHolders() const;
+  std::set<EntryId> HoldersWithoutLease() const;
 
   /// An entry is gone and can start nothing any more: its remaining allotments return to the pool.
   void ReclaimFrom(const EntryId& gone);
--- a/src/membership/lifecycle.cc
+++ b/src/membership/lifecycle.cc
@@ -82,10 +82,10 @@
     case LifecycleEvent::kRecovered:
       m_machine->process_event(Recovered{});
       return;
-    case LifecycleEvent::kStoreLost:
+    case LifecycleEvent::kStoreUnavailable:
       m_machine->process_event(StoreLost{});
       return;
-    case LifecycleEvent::kStoreBack:
+    case LifecycleEvent::kStoreAvailable:
       m_machine->process_event(StoreBack{});
       return;
     case LifecycleEvent::kStopRequested:
--- a/src/membership/lifecycle.h
+++ b/src/membership/lifecycle.h
@@ -26,7 +26,7 @@
 };
 
 /// Input of the lifecycle state machine.
-enum class LifecycleEvent { kJoined, kRecovered, kStoreLost, kStoreBack, kStopRequested, kDrained };
+enum class LifecycleEvent { kJoined, kRecovered, kStoreUnavailable, kStoreAvailable, kStopRequested, kDrained };
 
 /// State machine of the lifecycle of an entry.
 class Lifecycle {
--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -97,7 +97,7 @@
     event.kind = EventKind::kLeaseRenewed;
     event.config_version = m_config_version;
     m_context.effects.Emit(event);
-    Handle(LifecycleEvent::kStoreBack);
+    Handle(LifecycleEvent::kStoreAvailable);
   } else {
     OnRenewalLost();
   }
@@ -107,7 +107,7 @@
 
 void Membership::OnRenewalLost() {
   m_store_lost_until = m_context.Now() + kStoreLostMemory;
-  if (m_record_version != 0 && !IsLeaseValid()) Handle(LifecycleEvent::kStoreLost);
+  if (m_record_version != 0 && !IsLeaseValid()) Handle(LifecycleEvent::kStoreUnavailable);
 }
 
 bool Membership::OnRows(const std::string& prefix, const std::vector<Row>& rows) {
@@ -180,7 +180,7 @@
 
 void Membership::Expire(const EntryId& id, std::int64_t version) {
   // Only an entry that is itself a member may adopt the tasks.
-  m_table.Commit({{EntryKey(id), version}, IsMember()},
+  m_table.Commit({{EntryKey(id), version}, MembershipCondition()},
                  {{EntryKey(id), std::nullopt}, {HomeKey(id), std::nullopt}, {AdoptKey(id), m_context.self.value()}},
                  [this, id](CommitOutcome outcome, std::int64_t /*version*/) {
                    const auto peer = m_peers.find(id);
@@ -204,15 +204,15 @@
   const auto peer = m_peers.find(from);
   if (peer == m_peers.end()) return;
   peer->second.summary = summary;
-  peer->second.heard_until = m_context.Now() + m_context.settings.peer_silence;
+  peer->second.heartbeat_valid_until = m_context.Now() + m_context.settings.peer_silence;
 }
 
-bool Membership::HasRecord(const EntryId& id) const { return id == m_context.self || m_peers.contains(id); }
+bool Membership::HasLeaseRecord(const EntryId& id) const { return id == m_context.self || m_peers.contains(id); }
 
-bool Membership::IsHeard(const EntryId& id) const {
+bool Membership::HasRecentHeartbeat(const EntryId& id) const {
   if (id == m_context.self) return true;
   const auto peer = m_peers.find(id);
-  return peer != m_peers.end() && peer->second.heard_until > m_context.Now();
+  return peer != m_peers.end() && peer->second.heartbeat_valid_until > m_context.Now();
 }
 
 std::vector<EntryId> Membership::OwnerCandidates() const {
@@ -228,13 +228,13 @@
   return candidates;
 }
 
-Condition Membership::IsMember() const { return {HomeKey(m_context.self), m_home_version}; }
+Condition Membership::MembershipCondition() const { return {HomeKey(m_context.self), m_home_version}; }
 
 EntryId Membership::Successor() const {
   EntryId best;
   double best_score = 0;
   for (const auto& [id, peer] : m_peers) {
-    if (peer.record.state != EntryState::kServing || !IsHeard(id)) continue;
+    if (peer.record.state != EntryState::kServing || !HasRecentHeartbeat(id)) continue;
     const double weight = peer.record.domain == m_context.settings.domain ? 1e6 : 1.0;
     const double score = RendezvousScore(m_context.self.value(), id.value(), weight);
     if (score <= best_score) continue;
@@ -247,7 +247,7 @@
 void Membership::Leave(std::function<void()> done) {
   m_leaving = true;
   if (m_record_version == 0) return done();
-  m_table.Commit({IsMember()},
+  m_table.Commit({MembershipCondition()},
                  {{EntryKey(m_context.self), std::nullopt},
                   {HomeKey(m_context.self), std::nullopt},
                   {AdoptKey(m_context.self), Successor().value()}},
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -22,9 +22,9 @@
 struct Peer {
   EntryRecord record;
   std::int64_t version = 0;
-  Time expires_at;           ///< earliest time at which the record may be expired, if it stays unchanged
-  bool is_expiring = false;  ///< a transaction that expires the record is open
-  Time heard_until;          ///< end of the time for which the last heartbeat counts
+  Time expires_at;             ///< earliest time at which the record may be expired, if it stays unchanged
+  bool is_expiring = false;    ///< a transaction that expires the record is open
+  Time heartbeat_valid_until;  ///< end of the time for which the last heartbeat counts
   Summary summary;
 };
 
@@ -69,7 +69,7 @@
   void Leave(std::function<void()> done);
 
   /// Holds as long as this entry is a member: no other entry has taken over its tasks.
-  Condition IsMember() const;
+  Condition MembershipCondition() const;
 
   EntryState state() const { return m_lifecycle.state(); }
   bool IsJoined() const { return m_record_version != 0; }
@@ -82,10 +82,10 @@
   const std::map<EntryId, Peer>& peers() const { return m_peers; }
 
   /// Whether an entry has a lease record, as far as known.
-  bool HasRecord(const EntryId& id) const;
+  bool HasLeaseRecord(const EntryId& id) const;
 
   /// Whether a peer's heartbeats arrive.
-  bool IsHeard(const EntryId& id) const;
+  bool HasRecentHeartbeat(const EntryId& id) const;
 
   /// This entry and the peers of its failure domain that can own upstreams.
   std::vector<EntryId> OwnerCandidates() const;
--- a/src/ownership/ownership.cc
+++ b/src/ownership/ownership.cc
@@ -33,7 +33,7 @@
     upstream.is_listed = true;
     upstream.unlisted_until = now + kForgetDelay;
   }
-  Evaluate();
+  Reconcile();
 }
 
 void Ownership::OnRows(const std::vector<Row>& rows) {
@@ -48,9 +48,9 @@
     upstream.row = *record;
     upstream.row_version = row.version;
     OnOwnRowChanged(id, upstream);
-    if (record->IsFenced() && record->covered_by != m_context.self) m_hooks.on_covered(id);
+    if (record->IsFenced() && record->covered_by != m_context.self) m_hooks.on_allotments_transferred(id);
   }
-  Evaluate();
+  Reconcile();
 }
 
 void Ownership::OnOwnRowChanged(const UpstreamId& id, Upstream& upstream) {
@@ -62,18 +62,19 @@
 EntryId Ownership::PreferredOwner(const UpstreamId& id) const {
   std::vector<EntryId> candidates = m_membership.OwnerCandidates();
   const bool is_isolated = m_membership.state() == EntryState::kIsolated;
-  if (is_isolated) std::erase_if(candidates, [this](const EntryId& entry) { return !m_membership.IsHeard(entry); });
+  if (is_isolated)
+    std::erase_if(candidates, [this](const EntryId& entry) { return !m_membership.HasRecentHeartbeat(entry); });
   return PreferredEntry(id.value(), candidates);
 }
 
 bool Ownership::IsOwnerGone(const Upstream& upstream) const {
   const EntryId& owner = upstream.row.owner;
-  if (owner.empty() || !m_membership.HasRecord(owner)) return true;
+  if (owner.empty() || !m_membership.HasLeaseRecord(owner)) return true;
   // Without the store nobody can expire the record of a dead entry. The runner's fence decides between two takers.
-  return m_membership.state() == EntryState::kIsolated && !m_membership.IsHeard(owner);
+  return m_membership.state() == EntryState::kIsolated && !m_membership.HasRecentHeartbeat(owner);
 }
 
-void Ownership::Evaluate() {
+void Ownership::Reconcile() {
   if (!m_rows_read) return;
   const EntryState state = m_membership.state();
   const bool may_own =
@@ -108,7 +109,8 @@
   if (!IsRecorded(upstream)) CommitFenced(id);
   const EntryId preferred = PreferredOwner(id);
   const bool is_elsewhere = !preferred.empty() && preferred != m_context.self;
-  if (!is_elsewhere || !m_membership.IsLeaseValid() || !upstream.is_committed || !m_membership.IsHeard(preferred)) {
+  if (!is_elsewhere || !m_membership.IsLeaseValid() || !upstream.is_committed ||
+      !m_membership.HasRecentHeartbeat(preferred)) {
     upstream.prefer_other_at = Time();
     return;
   }
@@ -132,7 +134,7 @@
   record.owner = m_context.self;
   record.epoch = epoch;
   const std::string key = OwnerKey(m_context.settings.domain, id);
-  m_table.Commit({{key, upstream.row_version}, m_membership.IsMember()}, {{key, Encode(record)}},
+  m_table.Commit({{key, upstream.row_version}, m_membership.MembershipCondition()}, {{key, Encode(record)}},
                  [this, id, epoch](CommitOutcome outcome, std::int64_t version) {
                    OnClaimed(id, epoch, outcome == CommitOutcome::kCommitted, version);
                  });
@@ -145,7 +147,7 @@
   const bool is_lapsing = std::exchange(upstream.is_lapsing, false);
   if (!committed) {
     upstream.phase = Phase::kNone;
-    if (is_lapsing) m_hooks.on_lost(id);
+    if (is_lapsing) m_hooks.on_ownership_lost(id);
     return;
   }
   upstream.row.owner = m_context.self;
@@ -154,7 +156,7 @@
   upstream.epoch = epoch;
   upstream.is_committed = true;
   EmitChange(EventKind::kOwnerClaimed, id, upstream);
-  if (is_lapsing) m_hooks.on_lapsed(id);
+  if (is_lapsing) m_hooks.on_leases_expired(id);
   Fence(id, upstream);
 }
 
@@ -193,7 +195,8 @@
   const bool has_forgotten = reply.previous_epoch != upstream.row.fenced_epoch;
   upstream.reset_epoch = has_forgotten ? upstream.epoch : upstream.row.reset_epoch;
   EmitChange(EventKind::kOwnerFenced, id, upstream);
-  m_hooks.on_acquired(Acquisition{upstream.info, upstream.epoch, upstream.reset_epoch, upstream.is_committed, &reply});
+  m_hooks.on_acquired(
+      AcquiredUpstream{upstream.info, upstream.epoch, upstream.reset_epoch, upstream.is_committed, &reply});
   CommitFenced(id);
 }
 
@@ -206,12 +209,12 @@
   if (upstream.is_writing || m_membership.state() == EntryState::kIsolated) return;
   if (m_context.Now() < upstream.next_write) return;
   upstream.next_write = m_context.Now() + kRetryInterval;
-  m_hooks.prepare_cover(id, upstream.row.covered_by, [this, id, epoch = upstream.epoch](CoverChange change) {
-    CommitCover(id, epoch, std::move(change));
-  });
+  m_hooks.prepare_allotment_transfer(
+      id, upstream.row.covered_by,
+      [this, id, epoch = upstream.epoch](AllotmentTransfer change) { CommitCover(id, epoch, std::move(change)); });
 }
 
-void Ownership::CommitCover(const UpstreamId& id, std::int64_t epoch, CoverChange change) {
+void Ownership::CommitCover(const UpstreamId& id, std::int64_t epoch, AllotmentTransfer change) {
   const auto item = m_upstreams.find(id);
   if (item == m_upstreams.end()) return;
   Upstream& upstream = item->second;
@@ -220,7 +223,7 @@
   const OwnerRecord record{m_context.self, epoch, epoch, m_context.self, upstream.reset_epoch};
   const std::string key = OwnerKey(m_context.settings.domain, id);
   change.conditions.push_back({key, upstream.row_version});
-  change.conditions.push_back(m_membership.IsMember());
+  change.conditions.push_back(m_membership.MembershipCondition());
   change.writes.push_back({key, Encode(record)});
   m_table.Commit(std::move(change.conditions), std::move(change.writes),
                  [this, id, record](CommitOutcome outcome, std::int64_t version) {
@@ -261,7 +264,7 @@
                  });
 }
 
-void Ownership::ReleaseAll() {
+void Ownership::HandOverAll() {
   std::vector<EntryId> candidates = m_membership.OwnerCandidates();
   std::erase(candidates, m_context.self);
   for (auto& [id, upstream] : m_upstreams) {
@@ -275,7 +278,7 @@
   upstream.is_committed = false;
   upstream.next_try = m_context.Now() + kRetryInterval;
   EmitChange(EventKind::kOwnerReleased, id, upstream);
-  if (was_owned) m_hooks.on_lost(id);
+  if (was_owned) m_hooks.on_ownership_lost(id);
 }
 
 void Ownership::OnRefused(const UpstreamId& id, const OwnerToken& current) {
@@ -292,7 +295,7 @@
   if (current.epoch > upstream.epoch || current.owner != m_context.self) Lose(id, upstream);
 }
 
-void Ownership::Suspend(const UpstreamId& id) {
+void Ownership::ExpireTaskLeases(const UpstreamId& id) {
   const auto found = m_upstreams.find(id);
   if (found == m_upstreams.end() || found->second.phase != Phase::kOwned) return;
   Upstream& upstream = found->second;
@@ -306,7 +309,7 @@
                                                 [](const auto& entry) { return entry.second.phase == Phase::kOwned; }));
 }
 
-bool Ownership::IsSettled() const {
+bool Ownership::HasFencedOwnUpstreams() const {
   return m_rows_read && std::all_of(m_upstreams.begin(), m_upstreams.end(), [this](const auto& entry) {
            const Upstream& upstream = entry.second;
            const bool is_mine = upstream.row.owner == m_context.self || upstream.phase == Phase::kClaiming;
@@ -314,16 +317,17 @@
          });
 }
 
-bool Ownership::IsAllCovered() const {
+bool Ownership::IsEveryUpstreamFenced() const {
   return m_rows_read && std::all_of(m_upstreams.begin(), m_upstreams.end(), [this](const auto& item) {
            const Upstream& upstream = item.second;
            if (!upstream.is_listed && upstream.row_version == 0) return true;
            const OwnerRecord& row = upstream.row;
-           return row.IsFenced() && m_membership.HasRecord(row.owner) && m_membership.HasRecord(row.covered_by);
+           return row.IsFenced() && m_membership.HasLeaseRecord(row.owner) &&
+                  m_membership.HasLeaseRecord(row.covered_by);
          });
 }
 
-std::optional<EntryId> Ownership::OwnerOf(const UpstreamId& id) const {
+std::optional<EntryId> Ownership::FindOwner(const UpstreamId& id) const {
   const auto found = m_upstreams.find(id);
   if (found == m_upstreams.end()) return std::nullopt;
   if (found->second.phase == Phase::kOwned) return m_context.self;
@@ -347,8 +351,8 @@
     m_table.Commit({{key, upstream.row_version}}, {{key, std::nullopt}},
                    [](CommitOutcome /*outcome*/, std::int64_t /*version*/) {});
   }
-  if (upstream.phase == Phase::kOwned) m_hooks.on_lost(id);
-  m_hooks.on_gone(id);
+  if (upstream.phase == Phase::kOwned) m_hooks.on_ownership_lost(id);
+  m_hooks.on_removed(id);
   m_upstreams.erase(id);
 }
 
--- a/src/ownership/ownership.h
+++ b/src/ownership/ownership.h
@@ -20,7 +20,7 @@
 class TableClient;
 
 /// An upstream that this entry has just fenced.
-struct Acquisition {
+struct AcquiredUpstream {
   UpstreamInfo info;
   std::int64_t epoch = 0;
   std::int64_t reset_epoch = 0;
@@ -29,7 +29,7 @@
 };
 
 /// Conditions and writes that move the allotments of an upstream's tasks to this entry.
-struct CoverChange {
+struct AllotmentTransfer {
   std::vector<Condition> conditions;
   std::vector<Write> writes;
 };
@@ -39,21 +39,22 @@
  public:
   struct Hooks {
     /// The upstream may be used from now on.
-    std::function<void(const Acquisition&)> on_acquired;
+    std::function<void(const AcquiredUpstream&)> on_acquired;
     /// The upstream belongs to somebody else now.
-    std::function<void(const UpstreamId&)> on_lost;
+    std::function<void(const UpstreamId&)> on_ownership_lost;
     /// The allotments for the tasks on an upstream that was lost are covered by its new owner.
-    std::function<void(const UpstreamId&)> on_covered;
+    std::function<void(const UpstreamId&)> on_allotments_transferred;
     /// Prepares the move of the allotments from `from`. The callback does not run when the store cannot be read.
-    std::function<void(const UpstreamId&, const EntryId& from, std::function<void(CoverChange)>)> prepare_cover;
+    std::function<void(const UpstreamId&, const EntryId& from, std::function<void(AllotmentTransfer)>)>
+        prepare_allotment_transfer;
     /// The owner row of an acquired upstream was committed, and with it the move of the allotments.
     std::function<void(const UpstreamId&)> on_committed;
     /// The leases of all tasks on the upstream have surely lapsed.
-    std::function<void(const UpstreamId&)> on_lapsed;
+    std::function<void(const UpstreamId&)> on_leases_expired;
     /// The owner row of a handed over upstream was committed.
     std::function<void()> on_handed_over;
     /// The upstream left the list for good.
-    std::function<void(const UpstreamId&)> on_gone;
+    std::function<void(const UpstreamId&)> on_removed;
   };
 
   Ownership(Context& context, TableClient& table, Membership& membership, Hooks hooks);
@@ -64,17 +65,17 @@
   void OnRows(const std::vector<Row>& rows);
 
   /// Claims, fences and hands over what is due.
-  void Evaluate();
+  void Reconcile();
 
   /// A runner refused a request of this entry: another owner has fenced it, or it restarted.
   void OnRefused(const UpstreamId& id, const OwnerToken& current);
 
   /// The runner has not answered for longer than a task lease. Raises the epoch in the table, which proves that nobody
   /// else renewed the leases meanwhile, and then reports the lapse.
-  void Suspend(const UpstreamId& id);
+  void ExpireTaskLeases(const UpstreamId& id);
 
   /// Hands all upstreams over for a planned stop.
-  void ReleaseAll();
+  void HandOverAll();
 
   std::size_t OwnedCount() const;
 
@@ -82,17 +83,17 @@
   std::int64_t handovers() const { return m_handovers; }
 
   /// Whether every row that names this entry has been fenced, so that its capacity is known.
-  bool IsSettled() const;
+  bool HasFencedOwnUpstreams() const;
 
   /// Whether releases are still being committed.
-  bool IsReleasing() const { return m_open_releases > 0; }
+  bool IsHandingOver() const { return m_open_releases > 0; }
 
   /// Whether every listed upstream is owned by an entry with a lease record which has fenced it and counted its tasks.
   /// An entry without a record can then start nothing in this failure domain.
-  bool IsAllCovered() const;
+  bool IsEveryUpstreamFenced() const;
 
   /// Owner according to the table, for upstreams of the own failure domain.
-  std::optional<EntryId> OwnerOf(const UpstreamId& id) const;
+  std::optional<EntryId> FindOwner(const UpstreamId& id) const;
 
  private:
   enum class Phase { kNone, kClaiming, kFencing, kOwned, kReleasing };
@@ -126,7 +127,7 @@
   void OnFenced(const UpstreamId& id, std::int64_t epoch, const UpstreamReply& reply);
   void Acquire(const UpstreamId& id, Upstream& upstream, const UpstreamReply& reply);
   void CommitFenced(const UpstreamId& id);
-  void CommitCover(const UpstreamId& id, std::int64_t epoch, CoverChange change);
+  void CommitCover(const UpstreamId& id, std::int64_t epoch, AllotmentTransfer change);
   void HandOver(const UpstreamId& id, Upstream& upstream, const EntryId& to);
   void Lose(const UpstreamId& id, Upstream& upstream);
   void OnOwnRowChanged(const UpstreamId& id, Upstream& upstream);
--- a/src/routing/preview_gateway.cc
+++ b/src/routing/preview_gateway.cc
@@ -56,7 +56,7 @@
   request.config_version = m_config.config().version;
   if (*owner != m_context.self) {
     const Duration wait = std::min((preview.deadline - m_context.Now()) / kHedgeDivisor, kMaxHedgeWait);
-    m_router.Debit(*owner, preview.spec.demand);
+    m_router.AddPendingDemand(*owner, preview.spec.demand);
     m_context.After(wait, [this, call, attempt = preview.attempt] { Hedge(call, attempt); });
     return m_context.effects.SendPeer(*owner, request);
   }
--- a/src/routing/router.cc
+++ b/src/routing/router.cc
@@ -12,7 +12,7 @@
 Router::Router(Context& context, const ConfigStore& config, const Membership& membership, const Executor& executor)
     : m_context(context), m_config(config), m_membership(membership), m_executor(executor) {}
 
-void Router::Credit(const EntryId& owner, const Resources& demand) {
+void Router::RemovePendingDemand(const EntryId& owner, const Resources& demand) {
   if (owner == m_context.self) m_debits[owner] -= demand;
 }
 
@@ -32,7 +32,7 @@
       !tried.contains(m_context.self) && IsUsable(spec, m_context.self, m_executor.MakeSummary(), must_fit);
   if (is_own_usable) candidates.push_back(m_context.self);
   for (const auto& [id, peer] : m_membership.peers()) {
-    if (tried.contains(id) || !m_membership.IsHeard(id)) continue;
+    if (tried.contains(id) || !m_membership.HasRecentHeartbeat(id)) continue;
     if (own_domain_only && peer.summary.domain != m_context.settings.domain) continue;
     if (IsUsable(spec, id, peer.summary, must_fit)) candidates.push_back(id);
   }
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -28,10 +28,10 @@
 
   /// A task was sent to an owner. Until the owner's next summary its free capacity counts as smaller, so that a burst
   /// of tasks does not all go to the owner that looked best before it.
-  void Debit(const EntryId& owner, const Resources& demand) { m_debits[owner] += demand; }
+  void AddPendingDemand(const EntryId& owner, const Resources& demand) { m_debits[owner] += demand; }
 
   /// A task that was sent to this entry itself has been placed or refused.
-  void Credit(const EntryId& owner, const Resources& demand);
+  void RemovePendingDemand(const EntryId& owner, const Resources& demand);
 
   void OnSummary(const EntryId& owner) { m_debits.erase(owner); }
 
--- a/src/tasks/journal.cc
+++ b/src/tasks/journal.cc
@@ -54,7 +54,7 @@
 }
 
 void Journal::WriteBatch(Batch batch) {
-  std::vector<Condition> conditions = {m_membership.IsMember()};
+  std::vector<Condition> conditions = {m_membership.MembershipCondition()};
   std::vector<Write> writes;
   std::vector<JournalRecord> records;
   for (const Pending& pending : batch) {
@@ -83,7 +83,7 @@
 
 void Journal::OnConflict(Batch batch) {
   ReadRequest request;
-  request.keys.push_back(m_membership.IsMember().key);
+  request.keys.push_back(m_membership.MembershipCondition().key);
   for (const Pending& pending : batch) {
     if (pending.insert) request.keys.push_back(pending.insert->key);
   }
@@ -93,7 +93,7 @@
     --m_open_writes;
     std::set<std::string> present;
     for (const Row& row : reply.rows) present.insert(row.key);
-    const bool is_member = present.contains(m_membership.IsMember().key);
+    const bool is_member = present.contains(m_membership.MembershipCondition().key);
     for (Pending& pending : *shared) {
       if (!reply.available || !is_member) {
         // The transaction was refused, so nothing of it was written.
--- a/src/tasks/task_adoption.cc
+++ b/src/tasks/task_adoption.cc
@@ -22,17 +22,18 @@
       if (m_adopted.insert(home).second) LoadJournal(home);
       continue;
     }
-    if (!m_membership.HasRecord(adopter)) AdoptOrphan(home, row.version);
+    if (!m_membership.HasLeaseRecord(adopter)) AdoptOrphan(home, row.version);
   }
 }
 
 void TaskManager::AdoptOrphan(const EntryId& home, std::int64_t row_version) {
   std::vector<EntryId> candidates = {m_context.self};
   for (const auto& [id, peer] : m_membership.peers()) {
-    if (peer.record.state == EntryState::kServing && m_membership.IsHeard(id)) candidates.push_back(id);
+    if (peer.record.state == EntryState::kServing && m_membership.HasRecentHeartbeat(id)) candidates.push_back(id);
   }
   if (PreferredEntry(home.value(), candidates) != m_context.self) return;
-  m_table.Commit({{AdoptKey(home), row_version}, m_membership.IsMember()}, {{AdoptKey(home), m_context.self.value()}},
+  m_table.Commit({{AdoptKey(home), row_version}, m_membership.MembershipCondition()},
+                 {{AdoptKey(home), m_context.self.value()}},
                  [this, home](CommitOutcome outcome, std::int64_t /*version*/) {
                    const bool is_adopted = outcome == CommitOutcome::kCommitted && m_adopted.insert(home).second;
                    if (is_adopted) LoadJournal(home);
--- a/src/tasks/task_dispatch.cc
+++ b/src/tasks/task_dispatch.cc
@@ -75,7 +75,7 @@
   ++task.attempt;
   ++m_open_holds;
   task.owner = *owner;
-  m_router.Debit(*owner, task.spec.demand);
+  m_router.AddPendingDemand(*owner, task.spec.demand);
   HoldRequest request;
   request.spec = task.spec;
   request.spec.body.clear();
@@ -96,7 +96,7 @@
 
 void TaskManager::CloseHold(const HomeTask& task) {
   --m_open_holds;
-  m_router.Credit(task.owner, task.spec.demand);
+  m_router.RemovePendingDemand(task.owner, task.spec.demand);
 }
 
 void TaskManager::ReleaseHoldOf(const HomeTask& task) {
--- a/src/tasks/task_manager.cc
+++ b/src/tasks/task_manager.cc
@@ -352,7 +352,7 @@
   const AttemptId id{task.spec.id, task.attempt};
   constexpr std::int64_t kSilentProbesBeforeLookup = 2;
   const bool is_owner_silent = ++task.silent_probes > kSilentProbesBeforeLookup;
-  const bool is_owner_known = m_membership.HasRecord(task.owner);
+  const bool is_owner_known = m_membership.HasLeaseRecord(task.owner);
   if (is_owner_silent || !is_owner_known) FindOwner(id);
   if (is_owner_known) m_hooks.send(task.owner, TaskProbe{id, task.upstream, task.epoch});
 }
--- a/src/tasks/task_queries.cc
+++ b/src/tasks/task_queries.cc
@@ -43,7 +43,7 @@
 
 void TaskManager::FindHome(const TaskId& task, std::uint64_t call) {
   const EntryId home = HomeOf(task);
-  if (m_membership.HasRecord(home) && home != m_context.self) return QueryHome(home, call);
+  if (m_membership.HasLeaseRecord(home) && home != m_context.self) return QueryHome(home, call);
   ReadRequest request;
   request.keys.push_back(AdoptKey(home));
   m_table.Read(request, [this, call](const ReadReply& reply) {
@@ -55,7 +55,7 @@
       return AnswerForwarded(call, kStatusNotFound, Error{ErrorId::kTaskUnknown, "", "no such task"});
     }
     const EntryId adopter(reply.rows.front().value);
-    if (!m_membership.HasRecord(adopter)) return RepeatForwarded(call);
+    if (!m_membership.HasLeaseRecord(adopter)) return RepeatForwarded(call);
     QueryHome(adopter, call);
   });
 }
--- a/src/upstream/executor.cc
+++ b/src/upstream/executor.cc
@@ -168,7 +168,7 @@
     const bool is_reserved = upstream.error().path == "/declared_run_ms";
     return is_reserved ? OfferOutcome::kReserved : OfferOutcome::kNoCapacity;
   }
-  if (!m_allotments.TryTake(waiting.spec.team)) return OfferOutcome::kRefused;
+  if (!m_allotments.TryAcquire(waiting.spec.team)) return OfferOutcome::kRefused;
   OwnedTask& task = Hold(waiting, *upstream);
   const auto run = m_waiting_runs.find(waiting.id);
   if (run == m_waiting_runs.end()) {
--- a/src/upstream/executor.h
+++ b/src/upstream/executor.h
@@ -52,11 +52,12 @@
   void OnStopOrder(const StopOrder& order);
   void OnResultAck(const TaskResultAck& ack);
 
-  void OnAcquired(const Acquisition& acquisition);
-  void OnLost(const UpstreamId& id);
+  void OnAcquired(const AcquiredUpstream& acquisition);
+  void OnOwnershipLost(const UpstreamId& id);
   void OnCommitted(const UpstreamId& id);
-  void OnLapsed(const UpstreamId& id);
-  void PrepareCover(const UpstreamId& id, const EntryId& from, const std::function<void(CoverChange)>& done);
+  void OnLeasesExpired(const UpstreamId& id);
+  void PrepareAllotmentTransfer(const UpstreamId& id, const EntryId& from,
+                                const std::function<void(AllotmentTransfer)>& done);
 
   void OnInstances(const InstanceList& list);
 
--- a/src/upstream/executor_reports.cc
+++ b/src/upstream/executor_reports.cc
@@ -64,9 +64,9 @@
 
 }  // namespace
 
-void Executor::OnAcquired(const Acquisition& acquisition) {
+void Executor::OnAcquired(const AcquiredUpstream& acquisition) {
   const UpstreamId& id = acquisition.info.id;
-  m_allotments.Unlend(id);
+  m_allotments.DropRetainedUsage(id);
   OwnedUpstream& upstream = m_upstreams[id];
   upstream.info = acquisition.info;
   upstream.epoch = acquisition.epoch;
@@ -106,7 +106,7 @@
   }
 }
 
-void Executor::OnLost(const UpstreamId& id) {
+void Executor::OnOwnershipLost(const UpstreamId& id) {
   const auto upstream = m_upstreams.find(id);
   if (upstream == m_upstreams.end()) return;
   std::map<TeamId, std::int64_t> lent;
@@ -124,7 +124,7 @@
     const bool is_only_here = task.phase == OwnedPhase::kEnded && !task.is_from_runner;
     if (!is_only_here) m_tasks.erase(attempt);
   }
-  if (!lent.empty()) m_allotments.Lend(id, lent);
+  if (!lent.empty()) m_allotments.RetainUsage(id, lent);
   m_placer.RemoveUpstream(id);
   m_upstreams.erase(upstream);
   UpdateEligibility();
@@ -142,16 +142,17 @@
   m_allotments.Refresh(teams);
 }
 
-void Executor::PrepareCover(const UpstreamId& id, const EntryId& from, const std::function<void(CoverChange)>& done) {
+void Executor::PrepareAllotmentTransfer(const UpstreamId& id, const EntryId& from,
+                                        const std::function<void(AllotmentTransfer)>& done) {
   const auto upstream = m_upstreams.find(id);
   if (upstream == m_upstreams.end()) return;
-  m_allotments.PrepareMove(upstream->second.inherited, from,
-                           [done](std::vector<Condition> conditions, std::vector<Write> writes) {
-                             done(CoverChange{std::move(conditions), std::move(writes)});
-                           });
+  m_allotments.PrepareTransfer(upstream->second.inherited, from,
+                               [done](std::vector<Condition> conditions, std::vector<Write> writes) {
+                                 done(AllotmentTransfer{std::move(conditions), std::move(writes)});
+                               });
 }
 
-void Executor::OnLapsed(const UpstreamId& id) {
+void Executor::OnLeasesExpired(const UpstreamId& id) {
   const auto upstream = m_upstreams.find(id);
   if (upstream == m_upstreams.end()) return;
   const std::set<AttemptId> tasks = upstream->second.tasks;
@@ -159,7 +160,7 @@
     const OwnedTask& task = m_tasks.at(attempt);
     if (IsLeased(task) && IsActive(task)) End(attempt, Outcome::kLapsed, "the task lease lapsed", 0, false);
   }
-  OnLost(id);
+  OnOwnershipLost(id);
 }
 
 void Executor::RenewDue() {
