--- a/src/cell/scheduler.cc
+++ b/src/cell/scheduler.cc
@@ -60,12 +60,12 @@
         StepState& step = occurrence.steps[s];
         for (std::size_t i = 0; i < step.tasks.size(); ++i) {
           TaskState& task = step.tasks[i];
-          if (!HoldsRoom(task.phase)) continue;
+          if (!HasAllocation(task.phase)) continue;
           Hold(*job, TaskKey{id, k, s, i}, task, task.upstream);
           // The earlier leader may have sent the start after it committed the assignment.
           if (task.phase == TaskPhase::kAssigned) task.phase = TaskPhase::kStarting;
           if (task.phase == TaskPhase::kStopping) {
-            task.stop_due = m_now;
+            task.stop_retry_at = m_now;
             m_upstreams[task.upstream].next_stop = m_now;
           }
           task.progressed_at = m_now;
@@ -138,15 +138,15 @@
       Job* job = FindJob(id);
       if (job == nullptr) continue;
       job->committed_change = change;
-      if (change == job->change) job->shown = job->state;
+      if (change == job->change) job->committed_state = job->state;
       std::vector<std::function<void()>> actions;
-      auto& waiting = job->when_committed;
+      auto& waiting = job->commit_callbacks;
       const auto first_open = std::find_if(waiting.begin(), waiting.end(),
                                            [change = change](const auto& entry) { return entry.first > change; });
       for (auto it = waiting.begin(); it != first_open; ++it) actions.push_back(std::move(it->second));
       waiting.erase(waiting.begin(), first_open);
       for (const auto& action : actions) action();
-      if (IsSettled(*job) && job->when_committed.empty()) {
+      if (IsSettled(*job) && job->commit_callbacks.empty()) {
         job->occurrences.clear();
         job->spec = JobSpec{};
       }
@@ -211,14 +211,14 @@
 }
 
 void Scheduler::WhenCommitted(Job& job, std::function<void()> action) {
-  job.when_committed.emplace_back(job.change, std::move(action));
+  job.commit_callbacks.emplace_back(job.change, std::move(action));
 }
 
 void Scheduler::Hold(Job& job, const TaskKey& key, TaskState& task, const UpstreamId& upstream) {
   UpstreamState& state = KnowUpstream(upstream);
   const StepSpec& spec = job.spec.steps[key.step];
   m_team_use[job.team] += spec.demand;
-  state.used += spec.held_demand();
+  state.used += spec.allocated_resources();
   state.tasks.push_back(key);
   task.upstream = upstream;
 }
@@ -227,14 +227,14 @@
   UpstreamState& state = m_upstreams[task.upstream];
   const StepSpec& spec = job.spec.steps[key.step];
   m_team_use[job.team] -= spec.demand;
-  state.used -= spec.held_demand();
+  state.used -= spec.allocated_resources();
   const auto found = std::find(state.tasks.begin(), state.tasks.end(), key);
   if (found != state.tasks.end()) {
     *found = state.tasks.back();
     state.tasks.pop_back();
   }
   task.confirmed_at = Time::max();
-  task.stop_due = Time::max();
+  task.stop_retry_at = Time::max();
   task.percent = -1;
   task.phase = TaskPhase::kWaiting;
   ++StepOf(job, key).waiting;
@@ -250,7 +250,7 @@
   double longest = 0;
   for (std::size_t s = 0; s < job.spec.steps.size(); ++s) {
     const StepSpec& step = job.spec.steps[s];
-    for (const std::size_t before : step.after) {
+    for (const std::size_t before : step.dependencies) {
       if (before < s) chain[s] = std::max(chain[s], chain[before]);
     }
     chain[s] += static_cast<double>(step.estimate_ms) + call_ms;
@@ -258,7 +258,7 @@
   }
   const auto objective_ms = static_cast<std::int64_t>(longest * queue->stretch) + queue->target_duration_ms;
   job.objective = job.accepted + std::chrono::milliseconds(objective_ms);
-  job.late_bound = job.accepted + std::chrono::milliseconds(objective_ms * kLateFactor);
+  job.hard_deadline = job.accepted + std::chrono::milliseconds(objective_ms * kLateFactor);
 }
 
 void Scheduler::FinishTask(Job& job, const TaskKey& key, TaskState& task) {
@@ -268,7 +268,7 @@
   task.phase = TaskPhase::kDone;
   if (--step.not_done > 0) return;
   step.tickets.clear();
-  step.verdicts.clear();
+  step.policy_decisions.clear();
   Occurrence& occurrence = job.occurrences[key.occurrence];
   m_needs_placing = true;
   if (--occurrence.steps_left > 0) return;
--- a/src/cell/scheduler_clients.cc
+++ b/src/cell/scheduler_clients.cc
@@ -78,10 +78,10 @@
   if (job->committed_change == 0) {
     return WhenCommitted(*job, [this, id, reply] {
       const Job* committed = FindJob(id);
-      reply({ClientOutcome::kState, committed->shown});
+      reply({ClientOutcome::kState, committed->committed_state});
     });
   }
-  reply({ClientOutcome::kState, job->shown});
+  reply({ClientOutcome::kState, job->committed_state});
 }
 
 void Scheduler::Acknowledge(Job& job, const ClientReplyFunction& reply) {
@@ -98,7 +98,7 @@
     if (step.task_count < 1 || step.task_count > kMaxTasksOfJob) return reply({ClientOutcome::kMalformed});
     tasks += step.task_count;
     if (tasks > kMaxTasksOfJob) return reply({ClientOutcome::kMalformed});
-    for (const std::size_t before : step.after) {
+    for (const std::size_t before : step.dependencies) {
       if (before >= call.spec->steps.size() || before == s) return reply({ClientOutcome::kMalformed});
     }
   }
@@ -124,7 +124,7 @@
     for (const auto& [active, entry] : m_active) {
       const Job& other = *entry;
       const QueueConfig* other_queue = QueueOf(other);
-      if (other_queue == nullptr || other_queue->priority > queue.priority || m_now > other.late_bound) continue;
+      if (other_queue == nullptr || other_queue->priority > queue.priority || m_now > other.hard_deadline) continue;
       for (const Occurrence& occurrence : other.occurrences) {
         for (std::size_t s = 0; s < occurrence.steps.size(); ++s) {
           const StepSpec& step = other.spec.steps[s];
--- a/src/cell/scheduler_orders.cc
+++ b/src/cell/scheduler_orders.cc
@@ -57,7 +57,7 @@
   const auto ticket = step.tickets.find(task->upstream);
   const QueueConfig* queue = QueueOf(job);
   const bool needs_ticket = queue != nullptr && queue->policy.has_value();
-  const bool has_ticket = !needs_ticket || (ticket != step.tickets.end() && ticket->second.expires > m_now);
+  const bool has_ticket = !needs_ticket || (ticket != step.tickets.end() && ticket->second.expires_at > m_now);
   if (!IsUsable(upstream) || !has_ticket || IsFinal(job.state)) {
     if (is_first) {
       Unassign(job, key, *task, "upstream or ticket is not usable any more");
@@ -141,7 +141,7 @@
   // Not written: a new leader knows it from the numbers of the runs.
   job.has_started = true;
   if (job.state == JobState::kPending) job.state = JobState::kRunning;
-  if (job.shown == JobState::kPending && job.committed_change > 0) job.shown = JobState::kRunning;
+  if (job.committed_state == JobState::kPending && job.committed_change > 0) job.committed_state = JobState::kRunning;
 }
 
 void Scheduler::Unassign(Job& job, const TaskKey& key, TaskState& task, std::string_view reason) {
@@ -175,9 +175,9 @@
   task.phase = TaskPhase::kStopping;
   task.confirmed_at = Time::max();
   Mark(job);
-  task.stop_due = m_now + kStopRetry;
+  task.stop_retry_at = m_now + kStopRetry;
   UpstreamState& upstream = m_upstreams[task.upstream];
-  upstream.next_stop = std::min(upstream.next_stop, task.stop_due);
+  upstream.next_stop = std::min(upstream.next_stop, task.stop_retry_at);
   SendStop(upstream, key, task.run);
 }
 
--- a/src/cell/scheduler_placement.cc
+++ b/src/cell/scheduler_placement.cc
@@ -60,14 +60,14 @@
   for (const auto& [id, entry] : m_active) {
     Job& job = *entry;
     const QueueConfig* queue = nullptr;
-    const int group = m_now < job.objective ? 0 : (m_now < job.late_bound ? 1 : 2);
+    const int group = m_now < job.objective ? 0 : (m_now < job.hard_deadline ? 1 : 2);
     for (std::size_t k = 0; k < job.occurrences.size(); ++k) {
       Occurrence& occurrence = job.occurrences[k];
       if (occurrence.is_done) continue;
       for (std::size_t s = 0; s < occurrence.steps.size(); ++s) {
         if (occurrence.steps[s].waiting == 0) continue;
-        const auto& after = job.spec.steps[s].after;
-        const bool is_ready = std::all_of(after.begin(), after.end(), [&occurrence](std::size_t before) {
+        const auto& dependencies = job.spec.steps[s].dependencies;
+        const bool is_ready = std::all_of(dependencies.begin(), dependencies.end(), [&occurrence](std::size_t before) {
           return occurrence.steps[before].not_done == 0;
         });
         if (!is_ready) continue;
@@ -108,7 +108,7 @@
   const auto limit = [&slots](std::int64_t available, std::int64_t needed) {
     if (needed > 0) slots = std::min(slots, std::max<std::int64_t>(0, available) / needed);
   };
-  if (!spec.fills) limit(room.cpu_millis, spec.demand.cpu_millis);
+  if (!spec.uses_spare_cpu) limit(room.cpu_millis, spec.demand.cpu_millis);
   limit(room.memory_mb, spec.demand.memory_mb);
   limit(room.accelerators, spec.demand.accelerators);
   if (spec.max_per_upstream > 0) {
@@ -134,12 +134,13 @@
   for (auto it = step.tickets.begin(); it != step.tickets.end();) {
     UpstreamState* upstream = FindUpstream(it->first);
     const bool is_valid =
-        it->second.expires > m_now && upstream != nullptr && upstream->incarnation == it->second.incarnation;
+        it->second.expires_at > m_now && upstream != nullptr && upstream->incarnation == it->second.incarnation;
     if (!is_valid) {
       it = step.tickets.erase(it);
       continue;
     }
-    if (it->second.expires > m_now + kTicketMargin && MayRunOn(spec, queue, *upstream)) candidates.push_back(upstream);
+    if (it->second.expires_at > m_now + kTicketMargin && MayRunOn(spec, queue, *upstream))
+      candidates.push_back(upstream);
     ++it;
   }
   return candidates;
@@ -238,22 +239,22 @@
 void Scheduler::AskPolicy(const StepRef& ref, const QueueConfig& queue) {
   StepState& step = ref.job->occurrences[ref.occurrence].steps[ref.step];
   const StepSpec& spec = ref.job->spec.steps[ref.step];
-  if (step.open_advice_calls > 0 || m_now < step.next_advice) return;
-  const PolicyTerms& terms = *queue.policy;
+  if (step.open_policy_calls > 0 || m_now < step.next_policy_call_at) return;
+  const PolicyConfig& terms = *queue.policy;
   if (!m_desk.HasRoom(static_cast<std::int64_t>(terms.call_ms), m_now)) return;
   const double share = m_allowed_share.try_emplace(queue.id, kInitialAllowedShare).first->second;
   double ticketed = 0;
   std::vector<std::tuple<bool, std::int64_t, double, UpstreamState*>> open;  // has no room, free, expected slots
   for (auto& [id, upstream] : m_upstreams) {
     if (!MayRunOn(spec, queue, upstream)) continue;
-    const auto verdict = step.verdicts.find(id);
-    if (verdict != step.verdicts.end() && !verdict->second) continue;
+    const auto verdict = step.policy_decisions.find(id);
+    if (verdict != step.policy_decisions.end() && !verdict->second) continue;
     const std::int64_t now_slots = Slots(ref, upstream, upstream.Free());
     if (step.tickets.contains(id)) {
       ticketed += static_cast<double>(now_slots);
       continue;
     }
-    const double chance = verdict != step.verdicts.end() ? 1.0 : share;
+    const double chance = verdict != step.policy_decisions.end() ? 1.0 : share;
     const std::int64_t slots = now_slots > 0 ? now_slots : Slots(ref, upstream, upstream.listing.capacity);
     if (slots == 0) continue;
     open.emplace_back(now_slots == 0, -upstream.Free().cpu_millis, chance * static_cast<double>(slots), &upstream);
@@ -285,7 +286,7 @@
       m_desk.TryAsk(question, m_now, [this, step_key, named = question.upstreams](const PolicyAnswer& answer) {
         OnPolicyAnswer(step_key, named, answer);
       });
-  if (is_asked) ++step.open_advice_calls;
+  if (is_asked) ++step.open_policy_calls;
 }
 
 void Scheduler::OnPolicyAnswer(const TaskKey& step_key, const std::vector<UpstreamId>& named,
@@ -294,16 +295,16 @@
   m_needs_placing = true;
   if (m_is_retired || job == nullptr || FindTask(step_key) == nullptr) return;
   StepState& step = StepOf(*job, step_key);
-  --step.open_advice_calls;
-  step.next_advice = m_now + kAskPause;
+  --step.open_policy_calls;
+  step.next_policy_call_at = m_now + kAskPause;
   const QueueConfig* queue = QueueOf(*job);
   if (!answer.is_answered || queue == nullptr || !queue->policy) return;
   const std::int64_t valid_ms = answer.ticket_ms > 0 ? answer.ticket_ms : queue->policy->ticket_ms;
-  for (const UpstreamId& id : named) step.verdicts[id] = false;
+  for (const UpstreamId& id : named) step.policy_decisions[id] = false;
   for (const auto& [id, ticket] : answer.tickets) {
     const UpstreamState* upstream = FindUpstream(id);
     if (upstream == nullptr) continue;
-    step.verdicts[id] = true;
+    step.policy_decisions[id] = true;
     step.tickets[id] = Ticket{ticket, m_now + std::chrono::milliseconds(valid_ms), upstream->incarnation};
   }
   double& share = m_allowed_share[queue->id];
--- a/src/cell/scheduler_upstreams.cc
+++ b/src/cell/scheduler_upstreams.cc
@@ -94,11 +94,11 @@
   for (const TaskKey& key : std::vector<TaskKey>(upstream.tasks)) {
     TaskState* task = FindTask(key);
     if (task == nullptr || task->phase != TaskPhase::kStopping) continue;
-    if (m_now >= task->stop_due) {
-      task->stop_due = m_now + kStopRetry;
+    if (m_now >= task->stop_retry_at) {
+      task->stop_retry_at = m_now + kStopRetry;
       SendStop(upstream, key, task->run);
     }
-    upstream.next_stop = std::min(upstream.next_stop, task->stop_due);
+    upstream.next_stop = std::min(upstream.next_stop, task->stop_retry_at);
   }
 }
 
@@ -191,7 +191,7 @@
   TaskState* task = FindTask(row.task);
   Job* job = FindJob(row.task.job);
   const bool is_ours =
-      task != nullptr && task->run == row.run && task->upstream == upstream.listing.id && HoldsRoom(task->phase);
+      task != nullptr && task->run == row.run && task->upstream == upstream.listing.id && HasAllocation(task->phase);
   if (!is_ours) {
     m_ports.events.Emit("run.unknown", {{"task", FormatTaskKey(row.task)}, {"upstream", upstream.listing.id.value()}});
     SendStop(upstream, row.task, row.run);
@@ -224,7 +224,7 @@
   }
   const StepSpec& spec = job->spec.steps[row.task.step];
   StepState& step = StepOf(*job, row.task);
-  const bool is_current = task->run == row.run && task->upstream == upstream.listing.id && HoldsRoom(task->phase);
+  const bool is_current = task->run == row.run && task->upstream == upstream.listing.id && HasAllocation(task->phase);
   if (!is_current) {
     const bool counts = row.kind == EndKind::kDone && task->run == row.run && task->phase == TaskPhase::kWaiting &&
                         !IsFinal(job->state);
@@ -285,8 +285,8 @@
   StepState& step = StepOf(job, key);
   TaskState& counted = spec.is_gang ? step.tasks.front() : task;
   if (spec.is_gang) {
-    if (step.gang_failed >= task.run) return;
-    step.gang_failed = task.run;
+    if (step.last_failed_gang_run >= task.run) return;
+    step.last_failed_gang_run = task.run;
   }
   ++counted.failures;
   const QueueConfig* queue = QueueOf(job);
@@ -324,7 +324,7 @@
 void Scheduler::LoseTask(const TaskKey& key, std::string_view reason) {
   Job* job = FindJob(key.job);
   TaskState* task = FindTask(key);
-  if (job == nullptr || task == nullptr || !HoldsRoom(task->phase)) return;
+  if (job == nullptr || task == nullptr || !HasAllocation(task->phase)) return;
   m_ports.events.Emit("task.lost", {{"task", FormatTaskKey(key)},
                                     {"run", std::to_string(task->run)},
                                     {"upstream", task->upstream.value()},
--- a/src/cell_testing/cell_world.h
+++ b/src/cell_testing/cell_world.h
@@ -44,7 +44,7 @@
       step.same_rack = request.body.find("rack") != std::string::npos;
       spec.steps.push_back(step);
       for (std::int64_t i = 1; i < number("steps", 1); ++i) {
-        step.after = {static_cast<std::size_t>(i - 1)};
+        step.dependencies = {static_cast<std::size_t>(i - 1)};
         spec.steps.push_back(step);
       }
       call.spec = std::move(spec);
@@ -59,11 +59,13 @@
     response.body = std::string(ToString(reply.state));
     return response;
   }
-  std::int64_t PatienceMs(const HttpRequest& request) const override {
+  std::int64_t ClientTimeoutMs(const HttpRequest& request) const override {
     const std::string text(FindHeader(request.headers, "Patience"));
     return text.empty() ? 0 : std::stoll(text);
   }
-  HttpResponse GiveUp(bool may_have_run) const override { return {may_have_run ? kMayHaveRun : kNotRun, {}, ""}; }
+  HttpResponse EncodeFailure(bool may_have_run) const override {
+    return {may_have_run ? kMayHaveRun : kNotRun, {}, ""};
+  }
 
   static constexpr int kMayHaveRun = 504;
   static constexpr int kNotRun = 503;
--- a/src/core/views.cc
+++ b/src/core/views.cc
@@ -73,7 +73,7 @@
 }
 
 json::object TaskRow(const HomeTask& task) {
-  const bool has_ended = task.phase == TaskPhase::kEnded;
+  const bool has_ended = task.phase == HomeTaskPhase::kEnded;
   return {{"id", task.spec.id.value()},
           {"team", task.spec.team.value()},
           {"kind", task.spec.kind},
@@ -153,7 +153,7 @@
   json::object object = TaskRow(task);
   const Resources free = node.executor().placer().Free();
   const std::int64_t used = node.allotments().Used(task.spec.team);
-  object["reason"] = task.phase == TaskPhase::kEnded ? task.end.output : task.wait_reason;
+  object["reason"] = task.phase == HomeTaskPhase::kEnded ? task.end.output : task.wait_reason;
   object["demand"] = ToJson(task.spec.demand);
   object["free_here"] = ToJson(free);
   object["team_running_here"] = used;
--- a/src/instance/cell_instance.cc
+++ b/src/instance/cell_instance.cc
@@ -85,7 +85,7 @@
                                                   {"target", request.target},
                                                   {"waited_ms", std::to_string(ToMillis(waited))},
                                                   {"may_have_run", may_have_run ? "true" : "false"}});
-             return m_ports.codec.GiveUp(may_have_run);
+             return m_ports.codec.EncodeFailure(may_have_run);
            }}),
       m_leadership(m_ports.store, m_address, rank, cpu_millis < kStrongCpuMillis,
                    [this](const LeaderRecord& record, std::int64_t version) { BeginTerm(record, version); }),
@@ -149,7 +149,7 @@
 }
 
 void CellInstance::OnClientRequest(HttpRequest request, std::function<void(HttpResponse)> done) {
-  const std::int64_t told_ms = m_ports.codec.PatienceMs(request);
+  const std::int64_t told_ms = m_ports.codec.ClientTimeoutMs(request);
   const std::int64_t patience_ms = told_ms > 0 ? told_ms : kDefaultPatienceMs;
   const std::int64_t margin_ms = std::min(kAnswerMarginMs, patience_ms / kMarginPart);
   const Time deadline = m_now + std::chrono::milliseconds(std::max<std::int64_t>(1, patience_ms - margin_ms));
@@ -176,7 +176,7 @@
 
 void CellInstance::AnswerClient(const HttpRequest& request,
                                 const std::function<void(HttpResponse, bool is_undecided)>& done) {
-  if (m_term == nullptr) return done(m_ports.codec.GiveUp(false), true);
+  if (m_term == nullptr) return done(m_ports.codec.EncodeFailure(false), true);
   ClientCall call = m_ports.codec.Decode(request);
   call.call_id = std::string(FindHeader(request.headers, kCallIdHeader));
   m_term->OnClientCall(call, [this, call, done](const ClientReply& reply) {
@@ -346,6 +346,6 @@
   return gauges;
 }
 
-bool CellInstance::has_left() const { return m_is_stopping && m_term == nullptr; }
+bool CellInstance::can_exit() const { return m_is_stopping && m_term == nullptr; }
 
 }  // namespace jaymast
--- a/src/instance/cell_instance.h
+++ b/src/instance/cell_instance.h
@@ -26,9 +26,9 @@
   virtual ClientCall Decode(const HttpRequest& request) const = 0;
   virtual HttpResponse Encode(const ClientCall& call, const ClientReply& reply) const = 0;
   /// How long the client waits, in ms; 0 when it does not tell.
-  virtual std::int64_t PatienceMs(const HttpRequest& request) const = 0;
+  virtual std::int64_t ClientTimeoutMs(const HttpRequest& request) const = 0;
   /// Answer for a call without a result.
-  virtual HttpResponse GiveUp(bool may_have_run) const = 0;
+  virtual HttpResponse EncodeFailure(bool may_have_run) const = 0;
 };
 
 /// Sends a message to another instance. `done` gets a null pointer when there is no answer.
@@ -70,7 +70,7 @@
   void BeginStop();
 
   bool is_ready() const;
-  bool has_left() const;
+  bool can_exit() const;
   bool is_leader() const { return m_term != nullptr; }
   const CellTerm* term() const { return m_term.get(); }
   std::size_t open_calls() const { return m_relay.open_calls(); }
--- a/src/instance/cell_jobs_test.cc
+++ b/src/instance/cell_jobs_test.cc
@@ -37,7 +37,7 @@
 // Guards against policy tickets that are not asked for or not used.
 TEST(CellJobsTest, QueueWithPolicyStartsWithTickets) {
   CellWorld world(3, 6);
-  world.config->queues.front().policy = PolicyTerms{20, 1, 2000};
+  world.config->queues.front().policy = PolicyConfig{20, 1, 2000};
   world.Run(seconds(2));
   world.Call(0, "POST", "job1", "tasks=4 ms=300 gang");
   world.Run(seconds(2));
--- a/src/instance/cell_takeover_test.cc
+++ b/src/instance/cell_takeover_test.cc
@@ -221,7 +221,7 @@
   world.Run(milliseconds(400));
   EXPECT_GE(world.Leader(), 0);
   EXPECT_NE(world.Leader(), leader);
-  EXPECT_TRUE(world.At(leader).cell->has_left());
+  EXPECT_TRUE(world.At(leader).cell->can_exit());
   world.Run(seconds(3));
   EXPECT_EQ(StateOf(world, follower, "job1"), "completed");
   for (const auto& [task, starts] : world.record.starts) EXPECT_EQ(starts, 1) << FormatTaskKey(task);
--- a/src/jobs/cell_config.h
+++ b/src/jobs/cell_config.h
@@ -16,7 +16,7 @@
 using ServiceId = Id<struct ServiceTag>;
 
 /// Cost of a call to the policy service and life of its tickets.
-struct PolicyTerms {
+struct PolicyConfig {
   double call_ms = 0;          ///< time of a call that names no upstream
   double per_upstream_ms = 0;  ///< further time for each upstream named
   std::int64_t ticket_ms = 0;  ///< how long a ticket can be used
@@ -34,7 +34,7 @@
   std::int64_t target_duration_ms = 0;  ///< allowed on top of the stretched chain
   std::int64_t request_timeout_ms = 0;  ///< bound of a client's call
   bool is_public = false;               ///< no key is asked for
-  std::optional<PolicyTerms> policy;    ///< set when tickets are needed
+  std::optional<PolicyConfig> policy;   ///< set when tickets are needed
 };
 
 struct TeamConfig {
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -42,7 +42,7 @@
 };
 
 /// Whether a task in this phase holds room on its upstream.
-constexpr bool HoldsRoom(TaskPhase phase) { return phase != TaskPhase::kWaiting && phase != TaskPhase::kDone; }
+constexpr bool HasAllocation(TaskPhase phase) { return phase != TaskPhase::kWaiting && phase != TaskPhase::kDone; }
 
 struct TaskState {
   TaskPhase phase = TaskPhase::kWaiting;
@@ -53,9 +53,9 @@
   // Not stored: known from the upstream again after a takeover.
   std::uint64_t token = 0;  ///< fence with which the start was sent
   std::int32_t send_attempts = 0;
-  Time confirmed_at = Time::max();  ///< when the upstream acknowledged the start
-  Time stop_due = Time::max();      ///< when the stop is sent again
-  Time progressed_at{};             ///< when the reported progress last changed
+  Time confirmed_at = Time::max();   ///< when the upstream acknowledged the start
+  Time stop_retry_at = Time::max();  ///< when the stop is sent again
+  Time progressed_at{};              ///< when the reported progress last changed
   std::int32_t percent = -1;
   UpstreamId failed_on;  ///< where the last run failed; avoided next time
 };
@@ -63,21 +63,21 @@
 /// Permission of the policy service to start tasks of one step on one upstream.
 struct Ticket {
   std::string text;
-  Time expires{};
+  Time expires_at{};
   std::int64_t incarnation = 0;  ///< life of the upstream for which the ticket is valid
 };
 
 /// One step of one occurrence.
 struct StepState {
   std::vector<TaskState> tasks;
-  std::map<UpstreamId, Ticket> tickets;  ///< answers that allow the step
-  std::map<UpstreamId, bool> verdicts;   ///< everything the policy service ever said of this step
-  int open_advice_calls = 0;
-  Time next_advice{};            ///< not asked again before
-  std::int64_t waiting = 0;      ///< tasks without an upstream
-  std::int64_t not_done = 0;     ///< tasks that are not done
-  bool is_gang_done = false;     ///< one member ended as done, which counts for all
-  std::int32_t gang_failed = 0;  ///< highest run of the gang that was counted as failed
+  std::map<UpstreamId, Ticket> tickets;         ///< answers that allow the step
+  std::map<UpstreamId, bool> policy_decisions;  ///< everything the policy service ever said of this step
+  int open_policy_calls = 0;
+  Time next_policy_call_at{};             ///< not asked again before
+  std::int64_t waiting = 0;               ///< tasks without an upstream
+  std::int64_t not_done = 0;              ///< tasks that are not done
+  bool is_gang_done = false;              ///< one member ended as done, which counts for all
+  std::int32_t last_failed_gang_run = 0;  ///< highest run of the gang that was counted as failed
 };
 
 struct Occurrence {
@@ -94,12 +94,12 @@
   JobSpec spec;
   std::string call_id;  ///< of the call with which the job was accepted
   JobState state = JobState::kPending;
-  JobState shown = JobState::kPending;  ///< committed state, the only one that clients see
+  JobState committed_state = JobState::kPending;  ///< committed state, the only one that clients see
   std::vector<Occurrence> occurrences;
   bool has_started = false;  ///< a task has begun
   Time accepted{};
   Time objective{};                 ///< latest completion that counts as timely
-  Time late_bound{};                ///< latest completion that is worth something
+  Time hard_deadline{};             ///< latest completion that is worth something
   std::int64_t recorded_at_ms = 0;  ///< clock of the store at the acceptance
 
   // Durability: changes up to `committed_change` are in the store.
@@ -108,7 +108,7 @@
   bool is_queued_for_commit = false;
   bool is_spec_recorded = false;
   bool is_final_recorded = false;
-  std::vector<std::pair<std::uint64_t, std::function<void()>>> when_committed;
+  std::vector<std::pair<std::uint64_t, std::function<void()>>> commit_callbacks;
 };
 
 /// Identifies one task: the job, the occurrence, the step and the position in the step.
--- a/src/jobs/job_record.cc
+++ b/src/jobs/job_record.cc
@@ -27,10 +27,10 @@
   out["n"] = step.task_count;
   out["d"] = json::array{step.demand.cpu_millis, step.demand.memory_mb, step.demand.accelerators};
   out["e"] = step.estimate_ms;
-  if (!step.after.empty()) out["a"] = json::array(step.after.begin(), step.after.end());
+  if (!step.dependencies.empty()) out["a"] = json::array(step.dependencies.begin(), step.dependencies.end());
   std::int64_t flags = 0;
   const std::array<bool, 6> bits = {step.checkpoints,    step.is_gang,         step.same_rack,
-                                    step.is_speculative, step.is_long_running, step.fills};
+                                    step.is_speculative, step.is_long_running, step.uses_spare_cpu};
   for (std::size_t i = 0; i < bits.size(); ++i) flags |= std::int64_t{bits.at(i)} << i;
   if (flags != 0) out["f"] = flags;
   if (!step.required_label.empty()) out["l"] = step.required_label;
@@ -56,10 +56,10 @@
     step.demand = Resources{amounts[0], amounts[1], amounts[2], 0};
   }
   step.estimate_ms = reader.Int("e", 0, 0, kMaxAmount);
-  if (const json::array* after = reader.Array("a")) {
-    for (const json::value& position : *after) {
+  if (const json::array* dependencies = reader.Array("a")) {
+    for (const json::value& position : *dependencies) {
       boost::system::error_code ec;
-      step.after.push_back(position.to_number<std::size_t>(ec));
+      step.dependencies.push_back(position.to_number<std::size_t>(ec));
       if (ec) return std::nullopt;
     }
   }
@@ -70,7 +70,7 @@
   step.same_rack = bit(2);
   step.is_speculative = bit(3);
   step.is_long_running = bit(4);
-  step.fills = bit(5);
+  step.uses_spare_cpu = bit(5);
   step.required_label = reader.String("l", "", kMaxTextBytes);
   step.preferred_rack = reader.String("r", "", kMaxTextBytes);
   step.max_per_upstream = reader.Int("p", 0, 0, kMaxAmount);
@@ -86,7 +86,7 @@
   out.emplace_back(static_cast<std::int64_t>(task.phase));
   out.emplace_back(task.run);
   out.emplace_back(task.failures);
-  if (HoldsRoom(task.phase) || !task.checkpoint.empty()) out.emplace_back(task.upstream.value());
+  if (HasAllocation(task.phase) || !task.checkpoint.empty()) out.emplace_back(task.upstream.value());
   if (!task.checkpoint.empty()) out.emplace_back(task.checkpoint);
   return out;
 }
@@ -132,18 +132,18 @@
   return json::serialize(out);
 }
 
-bool HoldsRoomAnywhere(const Job& job) {
+bool HasAnyAllocation(const Job& job) {
   for (const Occurrence& occurrence : job.occurrences) {
     for (const StepState& step : occurrence.steps) {
       const bool holds = std::any_of(step.tasks.begin(), step.tasks.end(),
-                                     [](const TaskState& task) { return HoldsRoom(task.phase); });
+                                     [](const TaskState& task) { return HasAllocation(task.phase); });
       if (holds) return true;
     }
   }
   return false;
 }
 
-bool IsSettled(const Job& job) { return IsFinal(job.state) && !HoldsRoomAnywhere(job); }
+bool IsSettled(const Job& job) { return IsFinal(job.state) && !HasAnyAllocation(job); }
 
 std::string EncodeProgressRecord(const Job& job) {
   json::object out;
@@ -164,7 +164,7 @@
     for (const StepState& step : occurrence.steps) {
       json::array tasks;
       for (const TaskState& task : step.tasks) tasks.push_back(EncodeTask(task));
-      steps.push_back(json::array{step.is_gang_done, step.gang_failed, std::move(tasks)});
+      steps.push_back(json::array{step.is_gang_done, step.last_failed_gang_run, std::move(tasks)});
     }
     occurrences.push_back(std::move(steps));
   }
@@ -182,7 +182,7 @@
   job.queue = QueueId(reader.RequiredString("q", kMaxTextBytes));
   job.team = TeamId(reader.String("t", "", kMaxTextBytes));
   job.state = reader.Enum("s", JobState::kPending);
-  job.shown = job.state;
+  job.committed_state = job.state;
   job.recorded_at_ms = reader.Int("at", 0, 0, kMaxAmount);
   job.call_id = reader.String("c", "", kMaxTextBytes);
   job.spec.payload = reader.String("p", "", kMaxTextBytes);
@@ -213,7 +213,7 @@
   if (!object) return false;
   FieldReader reader(*object, "progress/" + job.id.value());
   job.state = reader.Enum("s", JobState::kPending);
-  job.shown = job.state;
+  job.committed_state = job.state;
   job.has_started = reader.Bool("b", false);
   const json::array* occurrences = reader.Array("o");
   if (reader.error() || occurrences == nullptr) return false;
@@ -237,7 +237,7 @@
       const json::array& parts = step_row.get_array();
       if (!parts[0].is_bool() || !parts[1].is_int64() || !parts[2].is_array()) return false;
       step.is_gang_done = parts[0].get_bool();
-      step.gang_failed = static_cast<std::int32_t>(parts[1].get_int64());
+      step.last_failed_gang_run = static_cast<std::int32_t>(parts[1].get_int64());
       if (parts[2].get_array().size() != step.tasks.size()) return false;
       step.waiting = 0;
       step.not_done = 0;
--- a/src/jobs/job_record.h
+++ b/src/jobs/job_record.h
@@ -15,7 +15,7 @@
 std::string EncodeFinalRecord(const Job& job);
 
 /// Whether a task of the job has room on an upstream.
-bool HoldsRoomAnywhere(const Job& job);
+bool HasAnyAllocation(const Job& job);
 
 /// Whether the job has ended and nothing of it runs any more.
 bool IsSettled(const Job& job);
--- a/src/jobs/job_record_test.cc
+++ b/src/jobs/job_record_test.cc
@@ -24,7 +24,7 @@
   first.required_label = "a";
   StepSpec second;
   second.task_count = 3;
-  second.after = {0};
+  second.dependencies = {0};
   second.checkpoints = true;
   second.max_per_upstream = 2;
   job.spec.steps = {first, second};
@@ -55,7 +55,7 @@
   EXPECT_EQ(read->spec.steps[0].demand, job.spec.steps[0].demand);
   EXPECT_TRUE(read->spec.steps[0].is_gang);
   EXPECT_EQ(read->spec.steps[0].required_label, "a");
-  EXPECT_EQ(read->spec.steps[1].after, std::vector<std::size_t>{0});
+  EXPECT_EQ(read->spec.steps[1].dependencies, std::vector<std::size_t>{0});
   EXPECT_TRUE(read->spec.steps[1].checkpoints);
   EXPECT_EQ(read->spec.steps[1].max_per_upstream, 2);
   EXPECT_EQ(read->state, JobState::kRunning);
@@ -86,7 +86,7 @@
   job.state = JobState::kCancelled;
   ASSERT_TRUE(ApplyProgressRecord(EncodeProgressRecord(job), *read));
   EXPECT_EQ(read->state, JobState::kCancelled);
-  EXPECT_FALSE(HoldsRoomAnywhere(*read));
+  EXPECT_FALSE(HasAnyAllocation(*read));
   job.occurrences.clear();
   Result<Job> again = DecodeJobRecord(job.id, EncodeJobRecord(ExampleJob()));
   ASSERT_TRUE(ApplyProgressRecord(EncodeProgressRecord(job), *again));
--- a/src/jobs/job_spec.h
+++ b/src/jobs/job_spec.h
@@ -19,13 +19,13 @@
   std::int64_t task_count = 1;
   Resources demand;                       ///< of each task; a true limit
   std::int64_t estimate_ms = 0;           ///< declared run time of a task, a rough figure
-  std::vector<std::size_t> after;         ///< positions of steps of the same job
+  std::vector<std::size_t> dependencies;  ///< positions of steps of the same job
   bool checkpoints = false;               ///< tasks save their progress
   bool is_gang = false;                   ///< tasks work only while all are present
   bool same_rack = false;                 ///< tasks are slower when spread over racks
   bool is_speculative = false;            ///< copies of a task may run in parallel
   bool is_long_running = false;           ///< tasks run until the job is cancelled
-  bool fills = false;                     ///< processors of the tasks are not counted against capacity
+  bool uses_spare_cpu = false;            ///< processors of the tasks are not counted against capacity
   std::string required_label;             ///< label that the upstream must have, or empty
   std::string preferred_rack;             ///< rack next to the data, or empty
   std::int64_t max_per_upstream = 0;      ///< most tasks of the step on one upstream, 0 for no bound
@@ -34,9 +34,9 @@
   std::int64_t max_unavailable = 0;       ///< long-running tasks that planned work may take away at a time
 
   /// What a task takes of the room of its upstream.
-  Resources held_demand() const {
+  Resources allocated_resources() const {
     Resources held = demand;
-    if (fills) held.cpu_millis = 0;
+    if (uses_spare_cpu) held.cpu_millis = 0;
     return held;
   }
 };
--- a/src/tasks/home_task.h
+++ b/src/tasks/home_task.h
@@ -16,7 +16,7 @@
 namespace jaymast {
 
 /// Phase of a task at its home entry.
-enum class TaskPhase {
+enum class HomeTaskPhase {
   kAccepting,  ///< the acceptance is being committed
   kQueued,     ///< waits to ask an owner for a hold
   kHolding,    ///< an owner has been asked
@@ -28,7 +28,7 @@
 };
 
 template <>
-struct EnumNames<TaskPhase> {
+struct EnumNames<HomeTaskPhase> {
   static constexpr std::array<std::string_view, 8> kNames = {"accepting", "queued",  "holding", "held",
                                                              "claiming",  "started", "ending",  "ended"};
 };
@@ -51,7 +51,7 @@
 /// A durable task whose home is this entry.
 struct HomeTask {
   TaskSpec spec;
-  TaskPhase phase = TaskPhase::kAccepting;
+  HomeTaskPhase phase = HomeTaskPhase::kAccepting;
   std::int64_t attempt = 0;
   EntryId owner;  ///< entry that was asked, or that runs the task
   UpstreamId upstream;
@@ -71,7 +71,9 @@
   TaskEnd end;
 
   /// Whether callers can be told the outcome.
-  bool HasOutcome() const { return phase == TaskPhase::kEnded || (phase == TaskPhase::kEnding && is_outcome_known); }
+  bool HasOutcome() const {
+    return phase == HomeTaskPhase::kEnded || (phase == HomeTaskPhase::kEnding && is_outcome_known);
+  }
 };
 
 }  // namespace jaymast
--- a/src/tasks/journal_record.cc
+++ b/src/tasks/journal_record.cc
@@ -35,19 +35,19 @@
   json::object object = {
       {"kind", ToString(record.kind)}, {"task", record.id.task.value()}, {"attempt", record.id.attempt}};
   switch (record.kind) {
-    case RecordKind::kAccepted:
+    case JournalRecordKind::kAccepted:
       object["spec"] = ToJson(record.spec);
       break;
-    case RecordKind::kClaimed:
+    case JournalRecordKind::kClaimed:
       object["owner"] = record.owner.value();
       object["upstream"] = record.upstream.value();
       object["domain"] = record.domain.value();
       object["epoch"] = record.epoch;
       break;
-    case RecordKind::kReleased:
+    case JournalRecordKind::kReleased:
       object["checkpoint"] = record.checkpoint;
       break;
-    case RecordKind::kEnded:
+    case JournalRecordKind::kEnded:
       object["end"] = EndToJson(record.end);
       break;
   }
@@ -58,7 +58,7 @@
   if (!value.is_object()) return Error{ErrorId::kInputField, "journal", "expected objects"};
   FieldReader reader(value.get_object(), "journal");
   JournalRecord record;
-  record.kind = reader.Enum("kind", RecordKind::kAccepted);
+  record.kind = reader.Enum("kind", JournalRecordKind::kAccepted);
   record.id.task = TaskId(reader.RequiredString("task", kMaxNameBytes));
   record.id.attempt = reader.Int("attempt", 0, 0, INT64_MAX);
   record.owner = EntryId(reader.String("owner", "", kMaxNameBytes));
@@ -71,7 +71,7 @@
     Result<TaskSpec> spec = TaskSpecFromJson(*object, "journal/spec");
     if (!spec) return spec.error();
     record.spec = std::move(*spec);
-  } else if (record.kind == RecordKind::kAccepted) {
+  } else if (record.kind == JournalRecordKind::kAccepted) {
     reader.Fail("spec", "required object");
   }
   if (reader.error()) return *reader.error();
--- a/src/tasks/journal_record.h
+++ b/src/tasks/journal_record.h
@@ -14,7 +14,7 @@
 
 namespace jaymast {
 
-enum class RecordKind {
+enum class JournalRecordKind {
   kAccepted,  ///< spec
   kClaimed,   ///< attempt, upstream, domain, epoch, owner
   kReleased,  ///< the claimed attempt has ended and the task waits again, from the checkpoint
@@ -22,13 +22,13 @@
 };
 
 template <>
-struct EnumNames<RecordKind> {
+struct EnumNames<JournalRecordKind> {
   static constexpr std::array<std::string_view, 4> kNames = {"accepted", "claimed", "released", "ended"};
 };
 
 /// One record of a task's history. The records of a task apply in the order of their row versions.
 struct JournalRecord {
-  RecordKind kind = RecordKind::kAccepted;
+  JournalRecordKind kind = JournalRecordKind::kAccepted;
   AttemptId id;
   TaskSpec spec;
   EntryId owner;
--- a/src/tasks/journal_record_test.cc
+++ b/src/tasks/journal_record_test.cc
@@ -12,15 +12,15 @@
   accepted.id = {TaskId("t"), 0};
   accepted.spec.id = TaskId("t");
   JournalRecord claimed = accepted;
-  claimed.kind = RecordKind::kClaimed;
+  claimed.kind = JournalRecordKind::kClaimed;
   claimed.owner = EntryId("e1");
   claimed.upstream = UpstreamId("u1");
   claimed.epoch = 3;
   JournalRecord released = accepted;
-  released.kind = RecordKind::kReleased;
+  released.kind = JournalRecordKind::kReleased;
   released.checkpoint = "half";
   JournalRecord ended = accepted;
-  ended.kind = RecordKind::kEnded;
+  ended.kind = JournalRecordKind::kEnded;
   ended.end.output = "out";
   return {accepted, claimed, released, ended};
 }
--- a/src/tasks/task_adoption.cc
+++ b/src/tasks/task_adoption.cc
@@ -67,26 +67,26 @@
   HomeTask& task = m_tasks[record.id.task];
   task.attempt = std::max(task.attempt, record.id.attempt);
   switch (record.kind) {
-    case RecordKind::kAccepted:
+    case JournalRecordKind::kAccepted:
       task.spec = record.spec;
       task.accepted_at = m_context.Now();
-      task.phase = TaskPhase::kQueued;
+      task.phase = HomeTaskPhase::kQueued;
       return;
-    case RecordKind::kClaimed:
+    case JournalRecordKind::kClaimed:
       task.owner = record.owner;
       task.upstream = record.upstream;
       task.domain = record.domain;
       task.epoch = record.epoch;
       task.is_claimed = true;
-      task.phase = TaskPhase::kStarted;
+      task.phase = HomeTaskPhase::kStarted;
       return;
-    case RecordKind::kReleased:
+    case JournalRecordKind::kReleased:
       task.checkpoint = record.checkpoint;
-      task.phase = TaskPhase::kQueued;
+      task.phase = HomeTaskPhase::kQueued;
       return;
-    case RecordKind::kEnded:
+    case JournalRecordKind::kEnded:
       task.end = record.end;
-      task.phase = TaskPhase::kEnded;
+      task.phase = HomeTaskPhase::kEnded;
       return;
   }
 }
@@ -94,17 +94,17 @@
 void TaskManager::ResumeAdopted(const std::set<TaskId>& tasks) {
   for (const TaskId& id : tasks) {
     HomeTask& task = m_tasks.at(id);
-    if (task.phase == TaskPhase::kQueued) task.attempt += kAdoptedAttemptGap;
+    if (task.phase == HomeTaskPhase::kQueued) task.attempt += kAdoptedAttemptGap;
     if (!task.spec.gang.empty()) m_gangs[task.spec.gang].insert(id);
   }
   for (const TaskId& id : tasks) {
     HomeTask& task = m_tasks.at(id);
-    if (task.phase == TaskPhase::kEnded) {
+    if (task.phase == HomeTaskPhase::kEnded) {
       Retain(id);
-    } else if (task.phase == TaskPhase::kStarted) {
+    } else if (task.phase == HomeTaskPhase::kStarted) {
       m_started.insert(id);
       Probe(task);
-    } else if (task.phase == TaskPhase::kQueued) {
+    } else if (task.phase == HomeTaskPhase::kQueued) {
       // A member of a gang may have been dispatched with another member already.
       Enqueue(task);
     }
--- a/src/tasks/task_dispatch.cc
+++ b/src/tasks/task_dispatch.cc
@@ -34,14 +34,14 @@
 
 /// Whether the other members of a gang need not wait for this one: it has ended, or it runs and is never started again.
 bool IsPlacedForGood(const HomeTask& task) {
-  if (task.phase == TaskPhase::kEnded) return true;
-  return task.phase == TaskPhase::kStarted && task.spec.semantics == Semantics::kAtMostOnce;
+  if (task.phase == HomeTaskPhase::kEnded) return true;
+  return task.phase == HomeTaskPhase::kStarted && task.spec.semantics == Semantics::kAtMostOnce;
 }
 
 }  // namespace
 
 void TaskManager::Enqueue(HomeTask& task) {
-  task.phase = TaskPhase::kQueued;
+  task.phase = HomeTaskPhase::kQueued;
   m_started.erase(task.spec.id);
   m_queue.Push(task.spec.work_class, task.spec.team, task.spec.id);
   DispatchQueue();
@@ -59,7 +59,7 @@
   const std::optional<TaskId> id = m_queue.Pop(work_class);
   if (!id) return false;
   const auto found = m_tasks.find(*id);
-  if (found == m_tasks.end() || found->second.phase != TaskPhase::kQueued) return true;
+  if (found == m_tasks.end() || found->second.phase != HomeTaskPhase::kQueued) return true;
   if (found->second.spec.gang.empty()) {
     AskForHold(found->second);
   } else {
@@ -71,7 +71,7 @@
 void TaskManager::AskForHold(HomeTask& task) {
   const std::optional<EntryId> owner = m_router.ChooseForDurable(task.spec, task.refused_by);
   if (!owner) return Requeue(task, "no entry serves upstreams for this task");
-  task.phase = TaskPhase::kHolding;
+  task.phase = HomeTaskPhase::kHolding;
   ++task.attempt;
   ++m_open_holds;
   task.owner = *owner;
@@ -87,7 +87,7 @@
 
 void TaskManager::OnHoldTimeout(const AttemptId& id) {
   HomeTask* task = Find(id);
-  if (task == nullptr || task->phase != TaskPhase::kHolding) return;
+  if (task == nullptr || task->phase != HomeTaskPhase::kHolding) return;
   CloseHold(*task);
   ReleaseHoldOf(*task);
   task->refused_by.insert(task->owner);
@@ -105,7 +105,7 @@
 
 void TaskManager::OnHoldReply(const EntryId& from, const HoldReply& reply) {
   HomeTask* task = Find(reply.id);
-  if (task == nullptr || task->phase != TaskPhase::kHolding || task->owner != from) {
+  if (task == nullptr || task->phase != HomeTaskPhase::kHolding || task->owner != from) {
     if (reply.granted) m_hooks.send(from, ReleaseHold{reply.id});
     return;
   }
@@ -120,7 +120,7 @@
   if (task->spec.gang.empty()) {
     Claim(*task);
   } else {
-    task->phase = TaskPhase::kHeld;
+    task->phase = HomeTaskPhase::kHeld;
     CheckGang(task->spec.gang);
   }
   DispatchQueue();
@@ -130,10 +130,10 @@
   task.wait_reason = reason;
   if (task.cancel_requested) {
     const Verdict verdict =
-        task.is_claimed && task.phase == TaskPhase::kStarted ? Verdict::kMayHaveRun : Verdict::kNotRun;
+        task.is_claimed && task.phase == HomeTaskPhase::kStarted ? Verdict::kMayHaveRun : Verdict::kNotRun;
     return End(task, TaskEnd{EndState::kCancelled, verdict, ErrorId::kTaskCancelled, "cancelled"}, EntryId());
   }
-  task.phase = TaskPhase::kQueued;
+  task.phase = HomeTaskPhase::kQueued;
   m_started.erase(task.spec.id);
   EmitTask(EventKind::kTaskRetried, task, reason);
   if (!task.spec.gang.empty()) AbandonGangHolds(task.spec.gang);
@@ -141,7 +141,7 @@
   const Duration backoff = m_context.Jittered(kFirstBackoff * (1 << doublings));
   m_context.After(backoff, [this, id = task.spec.id] {
     const auto found = m_tasks.find(id);
-    if (found == m_tasks.end() || found->second.phase != TaskPhase::kQueued) return;
+    if (found == m_tasks.end() || found->second.phase != HomeTaskPhase::kQueued) return;
     if (found->second.refused_by.size() > m_membership.peers().size()) found->second.refused_by.clear();
     Enqueue(found->second);
   });
@@ -163,16 +163,16 @@
   const std::vector<HomeTask*> members = GangMembers(first.spec.gang);
   const bool is_complete = static_cast<std::int64_t>(members.size()) == first.spec.gang_size;
   const bool is_ready = is_complete && std::all_of(members.begin(), members.end(), [](const HomeTask* task) {
-                          return task->phase == TaskPhase::kQueued || IsPlacedForGood(*task);
+                          return task->phase == HomeTaskPhase::kQueued || IsPlacedForGood(*task);
                         });
   // The member that is queued last finds the gang ready.
   if (!is_ready) return;
   const GangId gang = first.spec.gang;
   for (HomeTask* task : members) {
-    if (task->phase == TaskPhase::kQueued) m_queue.Erase(task->spec.id);
+    if (task->phase == HomeTaskPhase::kQueued) m_queue.Erase(task->spec.id);
   }
   for (HomeTask* task : members) {
-    if (task->phase == TaskPhase::kQueued) AskForHold(*task);
+    if (task->phase == HomeTaskPhase::kQueued) AskForHold(*task);
   }
   CheckGang(gang);
 }
@@ -180,11 +180,11 @@
 void TaskManager::CheckGang(const GangId& gang) {
   const std::vector<HomeTask*> members = GangMembers(gang);
   const bool is_held = std::all_of(members.begin(), members.end(), [](const HomeTask* task) {
-    return task->phase == TaskPhase::kHeld || IsPlacedForGood(*task);
+    return task->phase == HomeTaskPhase::kHeld || IsPlacedForGood(*task);
   });
   if (!is_held) return;
   for (HomeTask* task : members) {
-    if (task->phase == TaskPhase::kHeld) Claim(*task);
+    if (task->phase == HomeTaskPhase::kHeld) Claim(*task);
   }
 }
 
@@ -192,16 +192,16 @@
   CheckGang(gang);
   // Members that wait to be started again could not go on while this one ran.
   for (HomeTask* task : GangMembers(gang)) {
-    if (task->phase == TaskPhase::kQueued) return Enqueue(*task);
+    if (task->phase == HomeTaskPhase::kQueued) return Enqueue(*task);
   }
 }
 
 void TaskManager::AbandonGangHolds(const GangId& gang) {
   for (HomeTask* task : GangMembers(gang)) {
-    if (task->phase != TaskPhase::kHeld && task->phase != TaskPhase::kHolding) continue;
-    if (task->phase == TaskPhase::kHolding) CloseHold(*task);
+    if (task->phase != HomeTaskPhase::kHeld && task->phase != HomeTaskPhase::kHolding) continue;
+    if (task->phase == HomeTaskPhase::kHolding) CloseHold(*task);
     ReleaseHoldOf(*task);
-    task->phase = TaskPhase::kQueued;
+    task->phase = HomeTaskPhase::kQueued;
     // The member that could not be placed enqueues the gang again after its backoff.
     task->wait_reason = "another member of the gang could not be placed";
   }
@@ -209,7 +209,7 @@
 
 void TaskManager::StopGang(const HomeTask& lost) {
   for (const HomeTask* task : GangMembers(lost.spec.gang)) {
-    if (task->phase != TaskPhase::kStarted || task->spec.id == lost.spec.id) continue;
+    if (task->phase != HomeTaskPhase::kStarted || task->spec.id == lost.spec.id) continue;
     // At-most-once members may not be started again, so they run on while the others are placed anew.
     if (task->spec.semantics == Semantics::kAtMostOnce) continue;
     m_hooks.send(task->owner, StopOrder{AttemptId{task->spec.id, task->attempt}, StopMode::kCheckpoint});
@@ -217,9 +217,9 @@
 }
 
 void TaskManager::Claim(HomeTask& task) {
-  task.phase = TaskPhase::kClaiming;
+  task.phase = HomeTaskPhase::kClaiming;
   JournalRecord record;
-  record.kind = RecordKind::kClaimed;
+  record.kind = JournalRecordKind::kClaimed;
   record.id = AttemptId{task.spec.id, task.attempt};
   record.owner = task.owner;
   record.upstream = task.upstream;
@@ -231,7 +231,7 @@
 
 void TaskManager::OnClaimed(const AttemptId& id, CommitOutcome outcome) {
   HomeTask* task = Find(id);
-  if (task == nullptr || task->phase != TaskPhase::kClaiming) return;
+  if (task == nullptr || task->phase != HomeTaskPhase::kClaiming) return;
   if (outcome != CommitOutcome::kCommitted) {
     ReleaseHoldOf(*task);
     return Requeue(*task, "the claim could not be recorded");
@@ -241,7 +241,7 @@
     return Requeue(*task, "cancelled");
   }
   task->is_claimed = true;
-  task->phase = TaskPhase::kStarted;
+  task->phase = HomeTaskPhase::kStarted;
   task->silent_probes = 0;
   task->next_probe = m_context.Now() + kFirstProbe;
   m_started.insert(task->spec.id);
@@ -250,20 +250,20 @@
 }
 
 void TaskManager::Cancel(HomeTask& task) {
-  if (task.phase == TaskPhase::kEnded || task.phase == TaskPhase::kEnding) return;
+  if (task.phase == HomeTaskPhase::kEnded || task.phase == HomeTaskPhase::kEnding) return;
   task.cancel_requested = true;
-  if (task.phase == TaskPhase::kQueued) {
+  if (task.phase == HomeTaskPhase::kQueued) {
     m_queue.Erase(task.spec.id);
     return End(task, TaskEnd{EndState::kCancelled, Verdict::kNotRun, ErrorId::kTaskCancelled, "cancelled"}, EntryId());
   }
-  if (task.phase == TaskPhase::kStarted) {
+  if (task.phase == HomeTaskPhase::kStarted) {
     m_hooks.send(task.owner, StopOrder{AttemptId{task.spec.id, task.attempt}, StopMode::kStop});
   }
 }
 
 void TaskManager::OnRunning(const TaskRunning& running) {
   HomeTask* task = Find(running.id);
-  if (task == nullptr || task->phase != TaskPhase::kStarted) return;
+  if (task == nullptr || task->phase != HomeTaskPhase::kStarted) return;
   task->silent_probes = 0;
   task->backoffs = 0;
   task->next_probe = m_context.Now() + kNextProbe;
@@ -276,7 +276,7 @@
   request.keys.push_back(OwnerKey(task->domain, task->upstream));
   m_table.Read(request, [this, id](const ReadReply& reply) {
     HomeTask* current = Find(id);
-    if (current == nullptr || current->phase != TaskPhase::kStarted || reply.rows.empty()) return;
+    if (current == nullptr || current->phase != HomeTaskPhase::kStarted || reply.rows.empty()) return;
     const Result<OwnerRecord> record = DecodeOwnerRecord(reply.rows.front().value);
     if (!record || record->owner == current->owner) return;
     current->owner = record->owner;
@@ -286,9 +286,9 @@
 
 void TaskManager::OnResult(const EntryId& from, const TaskResult& result) {
   HomeTask* task = Find(result.id);
-  if (task == nullptr || task->phase != TaskPhase::kStarted) {
+  if (task == nullptr || task->phase != HomeTaskPhase::kStarted) {
     // A result of an attempt that is over. The current attempt's result is acknowledged once it is committed.
-    const bool is_being_committed = task != nullptr && task->phase == TaskPhase::kEnding;
+    const bool is_being_committed = task != nullptr && task->phase == HomeTaskPhase::kEnding;
     if (!is_being_committed) Acknowledge(from, result.id);
     return;
   }
@@ -348,10 +348,10 @@
 }
 
 void TaskManager::Checkpoint(HomeTask& task, const EntryId& from, const TaskResult& result) {
-  task.phase = TaskPhase::kEnding;
+  task.phase = HomeTaskPhase::kEnding;
   m_started.erase(task.spec.id);
   JournalRecord record;
-  record.kind = RecordKind::kReleased;
+  record.kind = JournalRecordKind::kReleased;
   record.id = result.id;
   record.checkpoint = result.output;
   m_journal.Append(std::move(record), std::nullopt, [this, from, result](CommitOutcome outcome) {
@@ -372,7 +372,7 @@
 
 void TaskManager::End(HomeTask& task, TaskEnd end, const EntryId& acknowledge_to) {
   task.end = std::move(end);
-  task.phase = TaskPhase::kEnding;
+  task.phase = HomeTaskPhase::kEnding;
   m_started.erase(task.spec.id);
   CommitEnd(AttemptId{task.spec.id, task.attempt}, acknowledge_to);
 }
@@ -381,7 +381,7 @@
   const HomeTask* task = Find(id);
   if (task == nullptr) return;
   JournalRecord record;
-  record.kind = RecordKind::kEnded;
+  record.kind = JournalRecordKind::kEnded;
   record.id = id;
   record.end = task->end;
   m_journal.Append(std::move(record), std::nullopt, [this, id, acknowledge_to](CommitOutcome outcome) {
@@ -396,7 +396,7 @@
       return;
     }
     Acknowledge(acknowledge_to, id);
-    current->phase = TaskPhase::kEnded;
+    current->phase = HomeTaskPhase::kEnded;
     EmitTask(EventKind::kTaskEnded, *current, std::string(ToString(current->end.state)));
     AnswerWaiters(id.task);
     CheckSubmissionsOf(id.task);
--- a/src/tasks/journal.cc
+++ b/src/tasks/task_journal.cc
@@ -1,4 +1,4 @@
-#include "tasks/journal.h"
+#include "tasks/task_journal.h"
 
 #include <fmt/format.h>
 
@@ -24,19 +24,19 @@
 
 std::string JournalPrefix(const EntryId& home) { return "task/" + home.value() + "/"; }
 
-Journal::Journal(Context& context, TableClient& table, const Membership& membership)
+TaskJournal::TaskJournal(Context& context, TableClient& table, const Membership& membership)
     : m_context(context), m_table(table), m_membership(membership) {}
 
-void Journal::Start() {
+void TaskJournal::Start() {
   Flush();
   m_context.After(m_context.settings.journal_interval, [this] { Start(); });
 }
 
-void Journal::Append(JournalRecord record, std::optional<Write> insert, Done done) {
+void TaskJournal::Append(JournalRecord record, std::optional<Write> insert, Done done) {
   m_pending.push_back(Pending{std::move(record), std::move(insert), std::move(done)});
 }
 
-Journal::Batch Journal::TakeBatch() {
+TaskJournal::Batch TaskJournal::TakeBatch() {
   std::size_t count = 0;
   std::size_t bytes = 0;
   while (count < m_pending.size() && count < kMaxRecordsPerRow && bytes < kMaxBytesPerRow) {
@@ -49,11 +49,11 @@
   return batch;
 }
 
-void Journal::Flush() {
+void TaskJournal::Flush() {
   while (!m_pending.empty() && m_table.TakeWriteBudget()) WriteBatch(TakeBatch());
 }
 
-void Journal::WriteBatch(Batch batch) {
+void TaskJournal::WriteBatch(Batch batch) {
   std::vector<Condition> conditions = {m_membership.IsMember()};
   std::vector<Write> writes;
   std::vector<JournalRecord> records;
@@ -81,7 +81,7 @@
                  });
 }
 
-void Journal::OnConflict(Batch batch) {
+void TaskJournal::OnConflict(Batch batch) {
   ReadRequest request;
   request.keys.push_back(m_membership.IsMember().key);
   for (const Pending& pending : batch) {
@@ -107,16 +107,16 @@
   });
 }
 
-void Journal::Register(const std::string& key, const TaskId& task) {
+void TaskJournal::Register(const std::string& key, const TaskId& task) {
   m_rows[key].insert(task);
   m_rows_of_task[task].insert(key);
 }
 
-void Journal::AddRow(const std::string& key, const std::vector<JournalRecord>& records) {
+void TaskJournal::AddRow(const std::string& key, const std::vector<JournalRecord>& records) {
   for (const JournalRecord& record : records) Register(key, record.id.task);
 }
 
-void Journal::Forget(const TaskId& task, const std::string& extra_row) {
+void TaskJournal::Forget(const TaskId& task, const std::string& extra_row) {
   if (!extra_row.empty()) m_deletable.push_back(extra_row);
   const auto rows = m_rows_of_task.find(task);
   if (rows == m_rows_of_task.end()) return;
--- a/src/tasks/journal.h
+++ b/src/tasks/task_journal.h
@@ -21,11 +21,11 @@
 std::string JournalPrefix(const EntryId& home);
 
 /// Writes task records in batches: one row for all records of a flush interval.
-class Journal {
+class TaskJournal {
  public:
   using Done = std::function<void(CommitOutcome)>;
 
-  Journal(Context& context, TableClient& table, const Membership& membership);
+  TaskJournal(Context& context, TableClient& table, const Membership& membership);
 
   void Start();
 
--- a/src/tasks/task_manager.cc
+++ b/src/tasks/task_manager.cc
@@ -98,7 +98,7 @@
   task.accepted_at = m_context.Now();
   m_submissions_of[id].insert(submission);
   JournalRecord record;
-  record.kind = RecordKind::kAccepted;
+  record.kind = JournalRecordKind::kAccepted;
   record.id.task = id;
   record.spec = task.spec;
   const bool is_repeated = insert && m_idempotent.at(insert->key) != id;
@@ -121,7 +121,7 @@
   }
   std::replace(open.tasks.begin(), open.tasks.end(), repeated, first);
   m_submissions_of[first].insert(submission);
-  if (known->second.phase == TaskPhase::kAccepting) {
+  if (known->second.phase == HomeTaskPhase::kAccepting) {
     m_joined[first].push_back(submission);
   } else {
     CloseAccept(submission);
@@ -342,7 +342,7 @@
   const Time now = m_context.Now();
   for (const TaskId& id : m_started) {
     HomeTask& task = m_tasks.at(id);
-    if (task.phase == TaskPhase::kStarted && now >= task.next_probe) Probe(task);
+    if (task.phase == HomeTaskPhase::kStarted && now >= task.next_probe) Probe(task);
   }
   m_context.After(kProbeSweep, [this] { ProbeStarted(); });
 }
--- a/src/tasks/task_manager.h
+++ b/src/tasks/task_manager.h
@@ -14,7 +14,7 @@
 #include "core/request.h"
 #include "core/table_client.h"
 #include "tasks/home_task.h"
-#include "tasks/journal.h"
+#include "tasks/task_journal.h"
 #include "tasks/task_queue.h"
 
 namespace jaymast {
@@ -166,7 +166,7 @@
   const Membership& m_membership;
   Router& m_router;
   Hooks m_hooks;
-  Journal m_journal;
+  TaskJournal m_journal;
   TaskQueue m_queue;
   std::map<TaskId, HomeTask> m_tasks;
   std::map<GangId, std::set<TaskId>> m_gangs;
--- a/src/testing/session_player.cc
+++ b/src/testing/session_player.cc
@@ -23,7 +23,7 @@
     const Result<std::vector<JournalRecord>> records = DecodeRecords(row->second.value);
     if (!records) continue;
     for (const JournalRecord& record : *records) {
-      if (record.kind == RecordKind::kEnded) ended.insert(record.id.task);
+      if (record.kind == JournalRecordKind::kEnded) ended.insert(record.id.task);
     }
   }
   return ended;
