--- a/src/cell/admission_test.cc
+++ b/src/cell/admission_controller_test.cc
@@ -1,4 +1,4 @@
-#include "cell/admission.h"
+#include "cell/admission_controller.h"
 
 #include <gtest/gtest.h>
 
--- a/src/cell/cell_feeds.h
+++ b/src/cell/cell_feeds.h
@@ -17,10 +17,10 @@
   virtual void OnConfig(std::shared_ptr<const CellConfig> config) = 0;
   /// What was told is complete as of this time.
   virtual void OnConfigCurrent(Time as_of) = 0;
-  virtual void OnDomainsOut(std::set<DomainId> domains) = 0;
+  virtual void OnDomainsOutOfService(std::set<DomainId> domains) = 0;
   virtual void OnUpstreamListed(UpstreamListing listing) = 0;
   virtual void OnUpstreamUnlisted(const UpstreamId& id) = 0;
-  virtual void OnListComplete(const std::set<UpstreamId>& listed) = 0;
+  virtual void OnUpstreamListComplete(const std::set<UpstreamId>& listed) = 0;
 };
 
 /// Follows the platform's store and tells a listener of changes.
--- a/src/cell/journal.cc
+++ b/src/cell/group_committer.cc
@@ -1,4 +1,4 @@
-#include "cell/journal.h"
+#include "cell/group_committer.h"
 
 #include <utility>
 
@@ -16,8 +16,8 @@
 
 }  // namespace
 
-Journal::Journal(StateStore& store, LeaderRecord record, std::int64_t guard_version, Collect collect,
-                 std::function<void()> deposed, std::function<void()> request_tick)
+GroupCommitter::GroupCommitter(StateStore& store, LeaderRecord record, std::int64_t guard_version, BatchSource collect,
+                               std::function<void()> deposed, std::function<void()> request_tick)
     : m_store(store),
       m_record(std::move(record)),
       m_committed_record(m_record),
@@ -26,12 +26,12 @@
       m_deposed(std::move(deposed)),
       m_request_tick(std::move(request_tick)) {}
 
-void Journal::HandOver(std::string successor) {
+void GroupCommitter::HandOver(std::string successor) {
   m_wants_handover = true;
   m_successor = std::move(successor);
 }
 
-void Journal::OnTick(Time now) {
+void GroupCommitter::OnTick(Time now) {
   m_now = now;
   if (m_is_deposed || m_is_handed_over) return;
   if (m_reply) {
@@ -52,7 +52,7 @@
   transaction.guard_table = kLeaderTable;
   transaction.guard_key = kLeaderKey;
   transaction.guard_version = m_guard_version;
-  JournalBatch batch;
+  CommitBatch batch;
   if (!wants_last) batch = m_collect();
   m_is_handover_sent = wants_last;
   LeaderRecord record = m_record;
@@ -70,7 +70,7 @@
   Send(now);
 }
 
-void Journal::Send(Time now) {
+void GroupCommitter::Send(Time now) {
   m_in_flight = true;
   m_sent_at = now;
   m_store.Commit(*m_transaction, [this, attempt = ++m_attempt](const StateCommitReply& reply) {
@@ -80,7 +80,7 @@
   });
 }
 
-void Journal::OnReply(const StateCommitReply& reply) {
+void GroupCommitter::OnReply(const StateCommitReply& reply) {
   m_in_flight = false;
   if (reply.now_ms > 0) {
     m_store_now_ms = reply.now_ms;
@@ -104,7 +104,7 @@
   }
 }
 
-void Journal::OnCommitted(std::int64_t version) {
+void GroupCommitter::OnCommitted(std::int64_t version) {
   m_guard_version = version;
   m_committed_record = m_record;
   // The transaction may have taken effect as early as its first copy was sent.
--- a/src/cell/journal.h
+++ b/src/cell/group_committer.h
@@ -12,7 +12,7 @@
 namespace jaymast {
 
 /// What a writer wants committed in the next transaction.
-struct JournalBatch {
+struct CommitBatch {
   std::vector<StateWrite> writes;
   std::function<void()> committed;  ///< called once the writes are certainly in the store
 };
@@ -21,14 +21,14 @@
 ///
 /// A transaction without an answer is sent again unchanged. Both copies carry the same condition and the same writes,
 /// so at most one of them takes effect, and it does not matter which.
-class Journal {
+class GroupCommitter {
  public:
   /// Makes the next batch; an empty batch is fine.
-  using Collect = std::function<JournalBatch()>;
+  using BatchSource = std::function<CommitBatch()>;
 
   /// @param record the leader row as it was written by the takeover, with its version
-  Journal(StateStore& store, LeaderRecord record, std::int64_t guard_version, Collect collect,
-          std::function<void()> deposed, std::function<void()> request_tick);
+  GroupCommitter(StateStore& store, LeaderRecord record, std::int64_t guard_version, BatchSource collect,
+                 std::function<void()> deposed, std::function<void()> request_tick);
 
   /// Asks for a transaction soon.
   void MarkDirty() { m_is_dirty = true; }
@@ -60,7 +60,7 @@
   LeaderRecord m_record;            ///< as of the last transaction sent
   LeaderRecord m_committed_record;  ///< as of the last transaction that took effect
   std::int64_t m_guard_version;
-  const Collect m_collect;
+  const BatchSource m_collect;
   const std::function<void()> m_deposed;
   const std::function<void()> m_request_tick;
   std::optional<StateTransaction> m_transaction;  ///< sent and not known to have taken effect
--- a/src/cell/leadership.cc
+++ b/src/cell/leader_election.cc
@@ -1,4 +1,4 @@
-#include "cell/leadership.h"
+#include "cell/leader_election.h"
 
 #include <algorithm>
 #include <utility>
@@ -18,21 +18,22 @@
 
 }  // namespace
 
-Leadership::Leadership(StateStore& store, std::string address, std::uint64_t rank, bool is_weak, Won won)
+LeaderElection::LeaderElection(StateStore& store, std::string address, std::uint64_t rank, bool is_weak,
+                               ElectedCallback won)
     : m_store(store),
       m_address(std::move(address)),
       m_lead(kRankPause * static_cast<std::int64_t>(rank % kRanks) + (is_weak ? kWeakPause : Duration::zero())),
       m_won(std::move(won)) {}
 
-void Leadership::OnTick(Time now) {
+void LeaderElection::OnTick(Time now) {
   m_now = now;
   if (m_is_leader || m_is_reading || m_is_campaigning) return;
   if (now < m_next_read) return;
-  if (now - m_progress_at < kProgressSilence && !m_leader.address.empty()) return;
+  if (now - m_progress_at < kProgressTimeout && !m_leader.address.empty()) return;
   Read(now);
 }
 
-void Leadership::OnLeaderProgress(const LeaderRecord& record, std::int64_t version, Time now) {
+void LeaderElection::OnLeaderProgress(const LeaderRecord& record, std::int64_t version, Time now) {
   if (m_is_leader || record.epoch < m_leader.epoch) return;
   m_is_refused = false;
   if (record.epoch == m_leader.epoch && record.sequence <= m_leader.sequence && record.address == m_leader.address) {
@@ -44,31 +45,31 @@
   m_version_seen_at = now;
 }
 
-void Leadership::OnLeaderRefused(Time now) {
+void LeaderElection::OnLeaderConnectionRefused(Time now) {
   m_is_refused = true;
   m_progress_at = Time{};
   m_next_read = std::min(m_next_read, now);
 }
 
-void Leadership::ReadSoon() {
+void LeaderElection::RequestRead() {
   m_progress_at = Time{};
   m_next_read = Time{};
 }
 
-void Leadership::OnDeposed(Time now) {
+void LeaderElection::OnDeposed(Time now) {
   m_is_leader = false;
   m_leader.address.clear();
   m_version.reset();
   m_next_read = now;
 }
 
-void Leadership::Read(Time now) {
+void LeaderElection::Read(Time now) {
   m_is_reading = true;
   const std::string key = kLeaderKey;
   m_store.Scan(kLeaderTable, key, key + '\x01', [this, now](const StateScanReply& reply) { OnRow(now, reply); });
 }
 
-void Leadership::OnRow(Time sent_at, const StateScanReply& reply) {
+void LeaderElection::OnRow(Time sent_at, const StateScanReply& reply) {
   m_is_reading = false;
   m_next_read = m_now + kReadPause;
   if (m_is_leader) return;
@@ -96,12 +97,12 @@
   // A row with the address of this instance is left over from an earlier process at it.
   const bool is_strong = m_lead < kWeakPause;
   if (m_leader.address == m_address && is_strong) return Campaign();
-  const Duration needed = is_vacant ? kSuccessorLead : (m_is_refused ? kRefusedSilence : kTakeoverSilence);
+  const Duration needed = is_vacant ? kSuccessorLead : (m_is_refused ? kRefusedElectionTimeout : kElectionTimeout);
   const Duration silence = needed + m_lead;
   if (sent_at - m_version_seen_at >= silence) Campaign();
 }
 
-void Leadership::Campaign() {
+void LeaderElection::Campaign() {
   m_is_campaigning = true;
   LeaderRecord record;
   record.epoch = m_leader.epoch + 1;
--- a/src/cell/leadership.h
+++ b/src/cell/leader_election.h
@@ -16,15 +16,15 @@
 /// The leader rewrites the leader row with each transaction. An instance takes over when it has read the row twice,
 /// `kTakeoverSilence` apart, with the same version, or when the leader has handed over. The conditional write lets one
 /// instance win. The new epoch fences the upstreams, so no lease of the old leader has to run out first.
-class Leadership {
+class LeaderElection {
  public:
   /// Called with the record and version of the leader row after this instance has won.
-  using Won = std::function<void(const LeaderRecord&, std::int64_t version)>;
+  using ElectedCallback = std::function<void(const LeaderRecord&, std::int64_t version)>;
 
   /// @param address peer address of this instance
   /// @param rank spreads the attempts of instances over time
   /// @param is_weak whether the instance leads only if no stronger one does
-  Leadership(StateStore& store, std::string address, std::uint64_t rank, bool is_weak, Won won);
+  LeaderElection(StateStore& store, std::string address, std::uint64_t rank, bool is_weak, ElectedCallback won);
 
   void OnTick(Time now);
 
@@ -33,10 +33,10 @@
   void OnLeaderProgress(const LeaderRecord& record, std::int64_t version, Time now);
 
   /// Nobody listens at the address of the leader, so a shorter silence is enough.
-  void OnLeaderRefused(Time now);
+  void OnLeaderConnectionRefused(Time now);
 
   /// Reads the row at the next tick, because the leader is said to have handed over.
-  void ReadSoon();
+  void RequestRead();
 
   /// This instance is not the leader any more.
   void OnDeposed(Time now);
@@ -49,11 +49,11 @@
   std::uint64_t leader_epoch() const { return m_leader.epoch; }
 
   /// The row must be unchanged for this time; above three times the idle pause of the journal.
-  static constexpr Duration kTakeoverSilence{750'000};
+  static constexpr Duration kElectionTimeout{750'000};
   /// Silence that is enough when nobody listens at the address of the leader; above the idle pause of the journal.
-  static constexpr Duration kRefusedSilence{350'000};
+  static constexpr Duration kRefusedElectionTimeout{350'000};
   /// Progress over the peer connections makes reading the row unnecessary for this time.
-  static constexpr Duration kProgressSilence{500'000};
+  static constexpr Duration kProgressTimeout{500'000};
 
  private:
   void Read(Time now);
@@ -63,7 +63,7 @@
   StateStore& m_store;
   const std::string m_address;
   const Duration m_lead;  ///< time that this instance leaves to others
-  const Won m_won;
+  const ElectedCallback m_won;
   bool m_is_leader = false;
   bool m_is_retired = false;
   bool m_is_reading = false;
--- a/src/cell/log_record.h
+++ b/src/cell/log_record.h
@@ -14,10 +14,10 @@
 inline constexpr const char* kRecordTable = "records";
 
 enum class RecordKind {
-  kJob,       ///< queue, organisation and specification
-  kProgress,  ///< what changes while the job is open
-  kFinal,     ///< replaces both at the end
-  kGone,      ///< the job is forgotten; hides older records until their rows are removed
+  kJob,        ///< queue, organisation and specification
+  kProgress,   ///< what changes while the job is open
+  kFinal,      ///< replaces both at the end
+  kTombstone,  ///< the job is forgotten; hides older records until their rows are removed
 };
 
 template <>
--- a/src/cell/advice_desk.cc
+++ b/src/cell/policy_call_dispatcher.cc
@@ -1,4 +1,4 @@
-#include "cell/advice_desk.h"
+#include "cell/policy_call_dispatcher.h"
 
 #include <algorithm>
 #include <utility>
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-void AdviceDesk::SetAgents(const std::vector<std::string>& addresses) {
+void PolicyCallDispatcher::SetPolicyCallers(const std::vector<std::string>& addresses) {
   std::map<std::string, Agent> agents;
   for (const std::string& address : addresses) {
     const auto found = m_agents.find(address);
@@ -24,13 +24,13 @@
   m_agents = std::move(agents);
 }
 
-std::size_t AdviceDesk::LongLimit() const {
+std::size_t PolicyCallDispatcher::LongLimit() const {
   const std::size_t count = m_agents.size();
   if (count < 2) return count;
   return count - (count + kShortShare - 1) / kShortShare;
 }
 
-std::optional<std::string> AdviceDesk::Pick(std::int64_t expected_ms, Time now) const {
+std::optional<std::string> PolicyCallDispatcher::Pick(std::int64_t expected_ms, Time now) const {
   const bool is_short = expected_ms <= kShortCallMs;
   if (!is_short && m_open_long >= LongLimit()) return std::nullopt;
   std::optional<std::string> best;
@@ -43,9 +43,12 @@
   return best;
 }
 
-bool AdviceDesk::HasRoom(std::int64_t expected_ms, Time now) const { return Pick(expected_ms, now).has_value(); }
+bool PolicyCallDispatcher::HasRoom(std::int64_t expected_ms, Time now) const {
+  return Pick(expected_ms, now).has_value();
+}
 
-bool AdviceDesk::TryAsk(const PolicyQuestion& question, Time now, std::function<void(const PolicyAnswer&)> done) {
+bool PolicyCallDispatcher::TryAsk(const PolicyRequest& question, Time now,
+                                  std::function<void(const PolicyReply&)> done) {
   const std::optional<std::string> picked = Pick(question.expected_ms, now);
   if (!picked) return false;
   const std::string& address = *picked;
@@ -57,16 +60,17 @@
     ++agent->open_long;
     ++m_open_long;
   }
-  m_port.Ask(address, question, [this, address, is_short, now, done = std::move(done)](const PolicyAnswer& answer) {
-    if (!is_short) --m_open_long;
-    const auto found = m_agents.find(address);
-    if (found != m_agents.end()) {
-      int& open = is_short ? found->second.open_short : found->second.open_long;
-      open = std::max(0, open - 1);
-      if (!answer.is_answered) found->second.blocked_until = now + kBlockTime;
-    }
-    done(answer);
-  });
+  m_port.RequestTickets(address, question,
+                        [this, address, is_short, now, done = std::move(done)](const PolicyReply& answer) {
+                          if (!is_short) --m_open_long;
+                          const auto found = m_agents.find(address);
+                          if (found != m_agents.end()) {
+                            int& open = is_short ? found->second.open_short : found->second.open_long;
+                            open = std::max(0, open - 1);
+                            if (!answer.is_answered) found->second.blocked_until = now + kBlockTime;
+                          }
+                          done(answer);
+                        });
   return true;
 }
 
--- a/src/cell/advice_desk.h
+++ b/src/cell/policy_call_dispatcher.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "base/time.h"
-#include "cell/policy_port.h"
+#include "cell/policy_client.h"
 
 namespace jaymast {
 
@@ -16,19 +16,19 @@
 ///
 /// Callers ask in the order of their urgency and are turned away while all instances are busy. Part of the instances is
 /// kept for short calls, so that a preview does not wait behind a long call.
-class AdviceDesk {
+class PolicyCallDispatcher {
  public:
-  explicit AdviceDesk(PolicyPort& port) : m_port(port) {}
+  explicit PolicyCallDispatcher(PolicyClient& port) : m_port(port) {}
 
   /// Replaces the instances that make calls. The empty address stands for this instance.
-  void SetAgents(const std::vector<std::string>& addresses);
+  void SetPolicyCallers(const std::vector<std::string>& addresses);
 
   /// Whether a call of this length would be made now.
   bool HasRoom(std::int64_t expected_ms, Time now) const;
 
   /// Makes a call if an instance has room for it.
   /// @return whether the call was made; only then is `done` called
-  bool TryAsk(const PolicyQuestion& question, Time now, std::function<void(const PolicyAnswer&)> done);
+  bool TryAsk(const PolicyRequest& question, Time now, std::function<void(const PolicyReply&)> done);
 
   /// Calls up to this length count as short.
   static constexpr std::int64_t kShortCallMs = 60;
@@ -44,7 +44,7 @@
   std::optional<std::string> Pick(std::int64_t expected_ms, Time now) const;
   std::size_t LongLimit() const;
 
-  PolicyPort& m_port;
+  PolicyClient& m_port;
   std::map<std::string, Agent> m_agents;
   std::size_t m_open_long = 0;
 };
--- a/src/cell/policy_port.h
+++ b/src/cell/policy_client.h
@@ -14,7 +14,7 @@
 namespace jaymast {
 
 /// Asks which of some upstreams may run a step.
-struct PolicyQuestion {
+struct PolicyRequest {
   JobId job;
   std::size_t occurrence = 0;
   std::size_t step = 0;
@@ -22,19 +22,19 @@
   std::int64_t expected_ms = 0;  ///< time that the policy service needs
 };
 
-struct PolicyAnswer {
+struct PolicyReply {
   bool is_answered = false;
   std::vector<std::pair<UpstreamId, std::string>> tickets;  ///< of the upstreams that may run the step
   std::int64_t ticket_ms = 0;                               ///< life of the tickets, 0 when not told
 };
 
 /// The policy service takes one call at a time from each instance, so calls are spread over instances.
-class PolicyPort {
+class PolicyClient {
  public:
-  virtual ~PolicyPort() = default;
+  virtual ~PolicyClient() = default;
   /// @param agent peer address of the instance that makes the call, empty for this one
-  virtual void Ask(const std::string& agent, const PolicyQuestion& question,
-                   std::function<void(PolicyAnswer)> done) = 0;
+  virtual void RequestTickets(const std::string& agent, const PolicyRequest& question,
+                              std::function<void(PolicyReply)> done) = 0;
 };
 
 }  // namespace jaymast
--- a/src/cell/record_log.cc
+++ b/src/cell/record_log.cc
@@ -77,13 +77,13 @@
 }
 
 void RecordLog::RetireIfLast(Place& place) {
-  if (place.job_kind == RecordKind::kGone && place.mentions == 1) Retire(place.job);
+  if (place.job_kind == RecordKind::kTombstone && place.mentions == 1) Retire(place.job);
 }
 
 void RecordLog::Forget(const JobId& job) {
   const auto found = m_places.find(job);
   if (found == m_places.end()) return;
-  found->second.job_kind = RecordKind::kGone;
+  found->second.job_kind = RecordKind::kTombstone;
   RetireIfLast(found->second);
 }
 
--- a/src/cell/record_log_test.cc
+++ b/src/cell/record_log_test.cc
@@ -16,7 +16,7 @@
 
 /// What a successor finds of a job.
 struct Found {
-  RecordKind kind = RecordKind::kGone;
+  RecordKind kind = RecordKind::kTombstone;
   std::string text;
   std::string progress;
 
@@ -52,7 +52,7 @@
       }
     }
   }
-  std::erase_if(found, [](const auto& entry) { return entry.second.kind == RecordKind::kGone; });
+  std::erase_if(found, [](const auto& entry) { return entry.second.kind == RecordKind::kTombstone; });
   for (auto& [job, state] : found) {
     if (state.kind == RecordKind::kFinal) state.progress.clear();
   }
@@ -92,7 +92,7 @@
       const bool is_gone = found == expected.end();
       const bool is_progress = item.kind == RecordKind::kProgress;
       const std::string text = is_gone ? "" : (is_progress ? found->second.progress : found->second.text);
-      log.Put(item.job, is_gone ? RecordKind::kGone : item.kind, text);
+      log.Put(item.job, is_gone ? RecordKind::kTombstone : item.kind, text);
     }
   }
 
--- a/src/cell/scheduler.cc
+++ b/src/cell/scheduler.cc
@@ -31,7 +31,7 @@
       m_now(now),
       m_desk(ports.policy) {}
 
-void Scheduler::AddRecordedJob(Job job, std::int64_t age_ms) {
+void Scheduler::LoadJob(Job job, std::int64_t age_ms) {
   job.accepted = m_now - std::chrono::milliseconds(age_ms);
   job.change = 1;
   job.committed_change = 1;
@@ -84,7 +84,7 @@
   m_needs_placing = true;
 }
 
-void Scheduler::OnDomainsOut(std::set<DomainId> domains) {
+void Scheduler::OnDomainsOutOfService(std::set<DomainId> domains) {
   if (domains == m_domains_out) return;
   std::string names;
   for (const DomainId& domain : domains) names += domain.value() + " ";
@@ -101,8 +101,8 @@
   if (m_needs_placing || now >= m_next_place) Place();
 }
 
-JournalBatch Scheduler::Collect() {
-  JournalBatch batch;
+CommitBatch Scheduler::CollectBatch() {
+  CommitBatch batch;
   std::vector<std::pair<JobId, std::uint64_t>> covered;
   const auto record = [this, &covered](Job& job) {
     job.is_queued_for_commit = false;
@@ -124,7 +124,7 @@
   for (const RecordLog::Item& item : m_log.ItemsToMove()) {
     Job* job = FindJob(item.job);
     if (job == nullptr) {
-      m_log.Put(item.job, RecordKind::kGone, "");
+      m_log.Put(item.job, RecordKind::kTombstone, "");
     } else if (item.kind == RecordKind::kProgress) {
       record(*job);
     } else {
--- a/src/cell/scheduler.h
+++ b/src/cell/scheduler.h
@@ -12,15 +12,15 @@
 #include <vector>
 
 #include "base/time.h"
-#include "cell/admission.h"
-#include "cell/advice_desk.h"
+#include "cell/admission_controller.h"
 #include "cell/cell_event_sink.h"
 #include "cell/client_call.h"
-#include "cell/journal.h"
-#include "cell/policy_port.h"
+#include "cell/group_committer.h"
+#include "cell/policy_call_dispatcher.h"
+#include "cell/policy_client.h"
 #include "cell/record_log.h"
 #include "cell/refused_calls.h"
-#include "cell/upstream_port.h"
+#include "cell/upstream_client.h"
 #include "cell/upstream_state.h"
 #include "jobs/cell_config.h"
 #include "jobs/job.h"
@@ -28,10 +28,10 @@
 namespace jaymast {
 
 /// What the leader knows of its own standing, refreshed at each tick.
-struct LeaderStanding {
-  Time confirmed_at{};            ///< no other leader existed at this time
-  bool is_store_stalled = false;  ///< the store does not answer this leader
-  bool is_store_out = false;      ///< for so long that another instance can't reach it either
+struct LeadershipStatus {
+  Time confirmed_at{};                ///< no other leader existed at this time
+  bool is_store_stalled = false;      ///< the store does not answer this leader
+  bool is_store_unavailable = false;  ///< for so long that another instance can't reach it either
   std::int64_t store_now_ms = 0;
   std::int64_t unix_now_ms = 0;  ///< time of day, which may jump
 };
@@ -43,8 +43,8 @@
 class Scheduler {
  public:
   struct Ports {
-    UpstreamPort& upstreams;
-    PolicyPort& policy;
+    UpstreamClient& upstreams;
+    PolicyClient& policy;
     CellEventSink& events;
   };
 
@@ -53,8 +53,8 @@
   Scheduler(Ports ports, std::uint64_t epoch, Time now, std::function<void()> mark_dirty, std::function<void()> fenced);
 
   // Loading, before the first tick.
-  void AddRecordedRow(const StateRow& row, const std::vector<LogRecord>& records) { m_log.AddLoaded(row, records); }
-  void AddRecordedJob(Job job, std::int64_t age_ms);
+  void LoadRow(const StateRow& row, const std::vector<LogRecord>& records) { m_log.AddLoaded(row, records); }
+  void LoadJob(Job job, std::int64_t age_ms);
   /// Builds the use of upstreams and organisations from the recorded jobs.
   void FinishLoading();
 
@@ -62,16 +62,16 @@
   void OnConfig(std::shared_ptr<const CellConfig> config);
   /// The feed answered at this time, so the configuration is current as of then.
   void OnConfigCurrent(Time now) { m_config_current_at = now; }
-  void OnDomainsOut(std::set<DomainId> domains);
+  void OnDomainsOutOfService(std::set<DomainId> domains);
   void OnUpstreamListed(UpstreamListing listing);
   void OnUpstreamUnlisted(const UpstreamId& id);
   /// Removes all upstreams that are not in a complete list.
-  void OnListComplete(const std::set<UpstreamId>& listed);
+  void OnUpstreamListComplete(const std::set<UpstreamId>& listed);
 
-  void SetAgents(const std::vector<std::string>& addresses) { m_desk.SetAgents(addresses); }
+  void SetPolicyCallers(const std::vector<std::string>& addresses) { m_desk.SetPolicyCallers(addresses); }
   /// Makes all callbacks ineffective.
   void Retire() { m_is_retired = true; }
-  void SetStanding(const LeaderStanding& standing) { m_standing = standing; }
+  void SetLeadershipStatus(const LeadershipStatus& standing) { m_standing = standing; }
 
   void OnClientCall(const ClientCall& call, const ClientReplyFunction& reply);
   /// Sets the time for everything that comes before the next tick.
@@ -79,14 +79,14 @@
   void OnTick(Time now);
 
   /// Rows that have changed since the last call.
-  JournalBatch Collect();
+  CommitBatch CollectBatch();
 
   std::size_t active_jobs() const { return m_active.size(); }
   std::size_t known_jobs() const { return m_jobs.size(); }
   std::size_t uncommitted_jobs() const { return m_commit_queue.size(); }
   std::size_t record_rows() const { return m_log.rows(); }
   std::size_t upstreams() const { return m_upstreams.size(); }
-  std::size_t CountUsable() const;
+  std::size_t CountUsableUpstreams() const;
   std::size_t CountUnacknowledgedEnds() const;
 
  private:
@@ -158,8 +158,8 @@
   void RepeatStops(UpstreamState& upstream);
   void SyncIfDue(UpstreamState& upstream);
   void OnSyncReply(const UpstreamId& id, std::uint64_t number, const SyncReply& reply);
-  void OnRunning(UpstreamState& upstream, const RunningRow& row);
-  void OnEnd(UpstreamState& upstream, const EndRow& row);
+  void OnRunning(UpstreamState& upstream, const ActiveRun& row);
+  void OnEnd(UpstreamState& upstream, const EndedRun& row);
   void OnFailedRun(Job& job, const TaskKey& key, TaskState& task, UpstreamState& upstream);
   void AcknowledgeEnds(UpstreamState& upstream);
   void LoseMissing(UpstreamState& upstream, const std::set<TaskKey>& seen);
@@ -177,7 +177,7 @@
   std::int64_t Slots(const StepRef& ref, const UpstreamState& upstream, const Resources& room) const;
   void Reserve(const StepRef& ref, const std::vector<UpstreamState*>& candidates);
   void AskPolicy(const StepRef& ref, const QueueConfig& queue);
-  void OnPolicyAnswer(const TaskKey& step_key, const std::vector<UpstreamId>& named, const PolicyAnswer& answer);
+  void OnPolicyAnswer(const TaskKey& step_key, const std::vector<UpstreamId>& named, const PolicyReply& answer);
   Resources TeamRoom(const TeamId& team) const;
 
   Ports m_ports;
@@ -186,7 +186,7 @@
   const std::function<void()> m_mark_dirty;
   const std::function<void()> m_fenced;
   Time m_now;
-  LeaderStanding m_standing;
+  LeadershipStatus m_standing;
   std::shared_ptr<const CellConfig> m_config;
   std::map<QueueId, QueueConfig> m_known_queues;  ///< also those that were removed, for jobs accepted before
   Time m_config_current_at{};
@@ -200,7 +200,7 @@
   std::map<UpstreamId, UpstreamState> m_upstreams;
   std::map<TeamId, Resources> m_team_use;
   RefusedCalls m_refused_calls;
-  AdviceDesk m_desk;
+  PolicyCallDispatcher m_desk;
   Admission m_admission;
   std::map<QueueId, double> m_allowed_share;  ///< learned share of upstreams that the policy allows
   std::set<UpstreamId> m_reserved;            ///< for waiting gangs, within one pass
--- a/src/cell/scheduler_clients.cc
+++ b/src/cell/scheduler_clients.cc
@@ -66,8 +66,8 @@
     return Cancel(id, reply);
   }
   if (call.action == ClientAction::kSubmit && job == nullptr) {
-    if (m_standing.is_store_stalled && !m_standing.is_store_out) return reply({ClientOutcome::kNotLeader});
-    if (!is_config_fresh || m_standing.is_store_out) {
+    if (m_standing.is_store_stalled && !m_standing.is_store_unavailable) return reply({ClientOutcome::kNotLeader});
+    if (!is_config_fresh || m_standing.is_store_unavailable) {
       m_ports.events.Emit("job.refused", {{"job", id.value()}, {"reason", "store does not answer"}});
       return reply({ClientOutcome::kUnavailable, {}, 0, kStoreRetryAfterS});
     }
--- a/src/cell/scheduler_placement.cc
+++ b/src/cell/scheduler_placement.cc
@@ -267,7 +267,7 @@
   // Valid tickets cover the need; room frees before new ones would help.
   if (needed <= 0) return;
   if (std::get<0>(open.front()) && !step.tickets.empty()) return;
-  PolicyQuestion question;
+  PolicyRequest question;
   question.job = ref.job->id;
   question.occurrence = ref.occurrence;
   question.step = ref.step;
@@ -282,14 +282,14 @@
       std::ceil(terms.call_ms + terms.per_upstream_ms * static_cast<double>(question.upstreams.size())));
   const TaskKey step_key{ref.job->id, ref.occurrence, ref.step, 0};
   const bool is_asked =
-      m_desk.TryAsk(question, m_now, [this, step_key, named = question.upstreams](const PolicyAnswer& answer) {
+      m_desk.TryAsk(question, m_now, [this, step_key, named = question.upstreams](const PolicyReply& answer) {
         OnPolicyAnswer(step_key, named, answer);
       });
   if (is_asked) ++step.open_advice_calls;
 }
 
 void Scheduler::OnPolicyAnswer(const TaskKey& step_key, const std::vector<UpstreamId>& named,
-                               const PolicyAnswer& answer) {
+                               const PolicyReply& answer) {
   Job* job = FindJob(step_key.job);
   m_needs_placing = true;
   if (m_is_retired || job == nullptr || FindTask(step_key) == nullptr) return;
--- a/src/cell/scheduler_upstreams.cc
+++ b/src/cell/scheduler_upstreams.cc
@@ -65,7 +65,7 @@
   upstream->is_listed = false;
 }
 
-void Scheduler::OnListComplete(const std::set<UpstreamId>& listed) {
+void Scheduler::OnUpstreamListComplete(const std::set<UpstreamId>& listed) {
   for (auto& [id, upstream] : m_upstreams) {
     if (upstream.is_listed && !listed.contains(id)) OnUpstreamUnlisted(id);
   }
@@ -78,7 +78,7 @@
          !m_domains_out.contains(upstream.listing.domain);
 }
 
-std::size_t Scheduler::CountUsable() const {
+std::size_t Scheduler::CountUsableUpstreams() const {
   return static_cast<std::size_t>(std::count_if(m_upstreams.begin(), m_upstreams.end(),
                                                 [this](const auto& entry) { return IsUsable(entry.second); }));
 }
@@ -171,12 +171,12 @@
   }
   upstream.is_adopted = true;
   std::set<TaskKey> seen;
-  for (const EndRow& row : reply.ended) {
+  for (const EndedRun& row : reply.ended) {
     seen.insert(row.task);
     if (row.number <= upstream.acknowledged_end || upstream.ends.contains(row.number)) continue;
     OnEnd(upstream, row);
   }
-  for (const RunningRow& row : reply.running) {
+  for (const ActiveRun& row : reply.running) {
     seen.insert(row.task);
     OnRunning(upstream, row);
   }
@@ -187,7 +187,7 @@
   if (!was_adopted) m_needs_placing = true;
 }
 
-void Scheduler::OnRunning(UpstreamState& upstream, const RunningRow& row) {
+void Scheduler::OnRunning(UpstreamState& upstream, const ActiveRun& row) {
   TaskState* task = FindTask(row.task);
   Job* job = FindJob(row.task.job);
   const bool is_ours =
@@ -215,7 +215,7 @@
   NoteStart(*job);
 }
 
-void Scheduler::OnEnd(UpstreamState& upstream, const EndRow& row) {
+void Scheduler::OnEnd(UpstreamState& upstream, const EndedRun& row) {
   Job* job = FindJob(row.task.job);
   TaskState* task = FindTask(row.task);
   if (job == nullptr || task == nullptr) {
--- a/src/cell/upstream_port.h
+++ b/src/cell/upstream_client.h
@@ -18,7 +18,7 @@
 struct UpstreamTarget {
   UpstreamId id;
   std::string address;
-  std::uint64_t token = 0;  ///< the upstream ignores orders with a lower token than the highest it has seen
+  std::uint64_t fencing_token = 0;  ///< the upstream ignores orders with a lower token than the highest it has seen
 };
 
 struct StartOrder {
@@ -46,10 +46,10 @@
 
 enum class OrderStatus {
   kAccepted,
-  kFenced,    ///< the upstream has seen a higher token
-  kStaleRun,  ///< a run with this number or a higher one was there before
-  kLate,      ///< the lease was over on arrival
-  kNoRoom,
+  kFenced,            ///< the upstream has seen a higher token
+  kStaleRun,          ///< a run with this number or a higher one was there before
+  kExpiredOnArrival,  ///< the lease was over on arrival
+  kNoCapacity,
   kBadTicket,
   kMalformed,
   kUnhealthy,         ///< nothing was done
@@ -71,7 +71,7 @@
 };
 
 /// A task that runs on an upstream.
-struct RunningRow {
+struct ActiveRun {
   TaskKey task;
   std::int32_t run = 0;
   std::string checkpoint;
@@ -79,7 +79,7 @@
   std::int64_t load = 0;  ///< tail latency in ms of a serving task, processor use of any other
 };
 
-enum class EndKind { kDone, kFailed, kStopped, kLapsed, kBroken, kAlone };
+enum class EndKind { kDone, kFailed, kStopped, kLeaseExpired, kBroken, kAlone };
 
 template <>
 struct EnumNames<EndKind> {
@@ -87,7 +87,7 @@
 };
 
 /// A run that ended on an upstream.
-struct EndRow {
+struct EndedRun {
   std::int64_t number = 0;
   TaskKey task;
   std::int32_t run = 0;
@@ -99,15 +99,15 @@
   OrderStatus status = OrderStatus::kUnknown;
   std::int64_t clock_ms = 0;
   std::int64_t incarnation = 0;
-  std::vector<RunningRow> running;
-  std::vector<EndRow> ended;
+  std::vector<ActiveRun> running;
+  std::vector<EndedRun> ended;
   bool has_more_ends = false;
 };
 
 /// Orders to upstreams. Callbacks are called once, and never from inside the call that registered them.
-class UpstreamPort {
+class UpstreamClient {
  public:
-  virtual ~UpstreamPort() = default;
+  virtual ~UpstreamClient() = default;
   virtual void Start(const StartOrder& order, std::function<void(OrderReply)> done) = 0;
   virtual void Stop(const StopOrder& order, std::function<void(OrderReply)> done) = 0;
   /// Extends the leases and reads what runs and what has ended.
--- a/src/cell_testing/cell_checks.h
+++ b/src/cell_testing/cell_checks.h
@@ -4,7 +4,7 @@
 
 #include <string>
 
-#include "cell_testing/cell_world.h"
+#include "cell_testing/simulated_cluster.h"
 
 namespace jaymast {
 
@@ -15,17 +15,17 @@
 inline constexpr int kNoSuchJob = static_cast<int>(ClientOutcome::kNoSuchJob);
 
 /// State of a job as an instance shows it.
-inline std::string StateOf(CellWorld& world, int index, const std::string& job) {
+inline std::string GetJobState(SimulatedCluster& world, int index, const std::string& job) {
   world.Call(index, "GET", job);
   world.Run(std::chrono::milliseconds(300));
   return world.LastBody("GET " + job);
 }
 
-inline void ExpectNoViolation(const CellWorld& world) {
-  for (const std::string& violation : world.record.violations) ADD_FAILURE() << violation;
+inline void ExpectNoViolation(const SimulatedCluster& world) {
+  for (const std::string& violation : world.history.violations) ADD_FAILURE() << violation;
 }
 
 /// Index of an instance that does not lead.
-inline int AnyFollower(const CellWorld& world) { return world.Leader() == 0 ? 1 : 0; }
+inline int AnyFollower(const SimulatedCluster& world) { return world.Leader() == 0 ? 1 : 0; }
 
 }  // namespace jaymast
--- a/src/cell_testing/fake_store.h
+++ b/src/cell_testing/fake_store.h
@@ -73,23 +73,23 @@
 };
 
 /// What is wrong with the store, as one instance sees it.
-enum class StoreFault { kNone, kSilent, kRefusing, kAnswerLost, kAppliedLate, kSlow };
+enum class StoreFault { kNone, kNoReply, kRefusing, kReplyLost, kAppliedLate, kSlow };
 
 /// The way of one instance to the store.
-class FakeStoreLink : public StateStore {
+class FakeStoreClient : public StateStore {
  public:
-  FakeStoreLink(EventQueue& queue, FakeStore& store) : m_queue(queue), m_store(store) {}
+  FakeStoreClient(EventQueue& queue, FakeStore& store) : m_queue(queue), m_store(store) {}
 
   void Commit(const StateTransaction& transaction, std::function<void(StateCommitReply)> done) override {
     switch (fault) {
-      case StoreFault::kSilent:
+      case StoreFault::kNoReply:
         return m_queue.After(kTimeout, [done] { done({}); });
       case StoreFault::kRefusing: {
         StateCommitReply refused;
         refused.status = StateStatus::kRefused;
         return m_queue.After(kLatency, [done, refused] { done(refused); });
       }
-      case StoreFault::kAnswerLost:
+      case StoreFault::kReplyLost:
         m_queue.After(kLatency, [this, transaction] { m_store.Apply(transaction); });
         return m_queue.After(kTimeout, [done] { done({}); });
       case StoreFault::kAppliedLate:
@@ -105,8 +105,8 @@
 
   void Scan(const std::string& table, const std::string& from, const std::string& to,
             std::function<void(StateScanReply)> done) override {
-    if (fault == StoreFault::kSilent || fault == StoreFault::kRefusing) {
-      return m_queue.After(fault == StoreFault::kSilent ? kTimeout : kLatency, [done] { done({}); });
+    if (fault == StoreFault::kNoReply || fault == StoreFault::kRefusing) {
+      return m_queue.After(fault == StoreFault::kNoReply ? kTimeout : kLatency, [done] { done({}); });
     }
     m_queue.After(kLatency, [this, table, from, to, done] { done(m_store.Read(table, from, to)); });
   }
--- a/src/cell_testing/fake_upstream.h
+++ b/src/cell_testing/fake_upstream.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "base/time.h"
-#include "cell/upstream_port.h"
+#include "cell/upstream_client.h"
 #include "cell_testing/event_queue.h"
 #include "jobs/job_record.h"
 #include "jobs/upstream_listing.h"
@@ -17,7 +17,7 @@
 namespace jaymast {
 
 /// What all upstreams of a test saw, and which guarantees were broken.
-struct FleetRecord {
+struct RunHistory {
   std::map<TaskKey, int> running;  ///< runs at this moment
   std::map<TaskKey, int> starts;
   std::map<TaskKey, int> done;
@@ -38,7 +38,7 @@
 /// One runner: keeps leases, fences and ends as the platform's runners do.
 class FakeUpstream {
  public:
-  FakeUpstream(EventQueue& queue, FleetRecord& record, UpstreamListing listing)
+  FakeUpstream(EventQueue& queue, RunHistory& record, UpstreamListing listing)
       : m_queue(queue), m_record(record), m_listing(std::move(listing)) {}
 
   const UpstreamListing& listing() const { return m_listing; }
@@ -48,9 +48,9 @@
   OrderReply Start(const StartOrder& order, const FakeWork& work) {
     Advance();
     OrderReply reply{OrderStatus::kAccepted, Clock()};
-    if (order.target.token < m_token) return {OrderStatus::kFenced, Clock()};
-    m_token = order.target.token;
-    if (order.lease_until_ms <= Clock()) return {OrderStatus::kLate, Clock()};
+    if (order.target.fencing_token < m_token) return {OrderStatus::kFenced, Clock()};
+    m_token = order.target.fencing_token;
+    if (order.lease_until_ms <= Clock()) return {OrderStatus::kExpiredOnArrival, Clock()};
     ExtendLease(order.lease_until_ms);
     const auto found = m_running.find(order.task);
     if (found != m_running.end() && found->second.run == order.run) return reply;
@@ -71,8 +71,8 @@
 
   OrderReply Stop(const StopOrder& order) {
     Advance();
-    if (order.target.token < m_token) return {OrderStatus::kFenced, Clock()};
-    m_token = order.target.token;
+    if (order.target.fencing_token < m_token) return {OrderStatus::kFenced, Clock()};
+    m_token = order.target.fencing_token;
     m_highest_run[order.task] = std::max(m_highest_run[order.task], order.run);
     const auto found = m_running.find(order.task);
     if (found != m_running.end() && found->second.run == order.run) End(order.task, EndKind::kStopped);
@@ -82,12 +82,12 @@
   /// Answers now, or calls `done` at the next end or after the wait.
   void Sync(const SyncOrder& order, const std::function<void(SyncReply)>& done) {
     Advance();
-    if (order.target.token < m_token) {
+    if (order.target.fencing_token < m_token) {
       SyncReply reply;
       reply.status = OrderStatus::kFenced;
       return done(reply);
     }
-    m_token = order.target.token;
+    m_token = order.target.fencing_token;
     if (order.lease_until_ms > 0) ExtendLease(order.lease_until_ms);
     while (!m_ends.empty() && m_ends.front().number <= order.acknowledged_end) {
       if (m_ends.front().kind == EndKind::kDone && !m_lapsed_since_end.contains(m_ends.front().number)) {
@@ -119,9 +119,9 @@
   /// Applies what has happened until now.
   void Advance() {
     if (Clock() >= m_lease_until_ms) {
-      for (const EndRow& end : m_ends) m_lapsed_since_end.insert(end.number);
+      for (const EndedRun& end : m_ends) m_lapsed_since_end.insert(end.number);
       const auto running = m_running;
-      for (const auto& [key, run] : running) End(key, EndKind::kLapsed);
+      for (const auto& [key, run] : running) End(key, EndKind::kLeaseExpired);
     }
     const auto running = m_running;
     for (const auto& [key, run] : running) {
@@ -186,7 +186,7 @@
   }
 
   EventQueue& m_queue;
-  FleetRecord& m_record;
+  RunHistory& m_record;
   UpstreamListing m_listing;
   std::uint64_t m_token = 0;
   std::int64_t m_last_end = 0;
@@ -194,7 +194,7 @@
   Time m_started_at{};
   std::map<TaskKey, Run> m_running;
   std::map<TaskKey, std::int32_t> m_highest_run;
-  std::vector<EndRow> m_ends;
+  std::vector<EndedRun> m_ends;
   std::set<std::int64_t> m_lapsed_since_end;
   std::uint64_t m_wait_count = 0;
   std::map<std::uint64_t, std::function<void(SyncReply)>> m_waiting;
--- a/src/cell_testing/cell_world.h
+++ b/src/cell_testing/simulated_cluster.h
@@ -86,7 +86,7 @@
 };
 
 /// Several instances with a store, upstreams and a policy service, all fake and on one fake clock.
-class CellWorld {
+class SimulatedCluster {
  public:
   static constexpr Duration kTick{10'000};
   static constexpr int kRackSize = 3;
@@ -95,18 +95,18 @@
 
   struct Instance {
     std::string address;
-    std::unique_ptr<FakeStoreLink> store;
+    std::unique_ptr<FakeStoreClient> store;
     std::unique_ptr<CellInstance> cell;
-    std::unique_ptr<UpstreamPort> upstreams;
-    std::unique_ptr<PolicyPort> policy;
+    std::unique_ptr<UpstreamClient> upstreams;
+    std::unique_ptr<PolicyClient> policy;
     FakeClientCodec codec;
     bool is_up = true;
-    bool is_frozen = false;
-    std::set<std::string> cut_from;  ///< peers and upstreams that can't be reached
-    std::uint64_t life = 0;
+    bool is_paused = false;
+    std::set<std::string> partitioned_from;  ///< peers and upstreams that can't be reached
+    std::uint64_t process_incarnation = 0;
   };
 
-  explicit CellWorld(int instances, int upstreams, std::int64_t cpu_millis = 8000) : store(queue) {
+  explicit SimulatedCluster(int instances, int upstreams, std::int64_t cpu_millis = 8000) : store(queue) {
     config = std::make_shared<CellConfig>();
     config->version = 1;
     QueueConfig jobs;
@@ -128,13 +128,13 @@
       listing.capacity = Resources{cpu_millis, 100'000, 0, 0};
       listing.rack = "r" + std::to_string(i / kRackSize);
       listing.incarnation = 1;
-      fleet.push_back(std::make_unique<FakeUpstream>(queue, record, listing));
+      fake_upstreams.push_back(std::make_unique<FakeUpstream>(queue, history, listing));
     }
     for (int i = 0; i < instances; ++i) {
       this->instances.push_back(std::make_unique<Instance>());
       Instance& instance = *this->instances.back();
       instance.address = "i" + std::to_string(i);
-      instance.store = std::make_unique<FakeStoreLink>(queue, store);
+      instance.store = std::make_unique<FakeStoreClient>(queue, store);
       instance.upstreams = std::make_unique<FleetPort>(*this, instance);
       instance.policy = std::make_unique<FakePolicy>(*this);
       Boot(instance);
@@ -146,7 +146,7 @@
   void Kill(int index) {
     Instance& instance = At(index);
     instance.is_up = false;
-    ++instance.life;
+    ++instance.process_incarnation;
     m_dead.push_back(std::move(instance.cell));
   }
 
@@ -172,22 +172,22 @@
     Instance& instance = At(index);
     if (!instance.is_up) return;
     instance.cell->OnClientRequest(std::move(request), [this, method, job](const HttpResponse& response) {
-      answers[method + " " + job].push_back(response);
+      responses[method + " " + job].push_back(response);
     });
   }
 
   int LastStatus(const std::string& call) const {
-    const auto found = answers.find(call);
-    return found == answers.end() ? -1 : found->second.back().status;
+    const auto found = responses.find(call);
+    return found == responses.end() ? -1 : found->second.back().status;
   }
   std::string LastBody(const std::string& call) const {
-    const auto found = answers.find(call);
-    return found == answers.end() ? "" : found->second.back().body;
+    const auto found = responses.find(call);
+    return found == responses.end() ? "" : found->second.back().body;
   }
 
   Instance& At(int index) { return *instances[static_cast<std::size_t>(index)]; }
   FakeUpstream* FindUpstream(const std::string& address) {
-    for (const auto& upstream : fleet) {
+    for (const auto& upstream : fake_upstreams) {
       if (upstream->listing().address == address) return upstream.get();
     }
     return nullptr;
@@ -195,41 +195,41 @@
 
   EventQueue queue;
   FakeStore store;
-  FleetRecord record;
+  RunHistory history;
   std::shared_ptr<CellConfig> config;
-  std::set<DomainId> domains_out;
-  std::vector<std::unique_ptr<FakeUpstream>> fleet;
+  std::set<DomainId> domains_out_of_service;
+  std::vector<std::unique_ptr<FakeUpstream>> fake_upstreams;
   std::vector<std::unique_ptr<Instance>> instances;
-  std::map<std::string, std::vector<HttpResponse>> answers;
-  std::function<bool(const StartOrder&)> loses_start;         ///< the order does not arrive
-  std::function<bool(const StartOrder&)> loses_start_answer;  ///< the order is carried out without an answer
-  std::function<Duration(const StartOrder&)> start_delay;     ///< an order without an answer arrives late
-  std::function<OrderStatus(const StartOrder&)> refuses_start;
+  std::map<std::string, std::vector<HttpResponse>> responses;
+  std::function<bool(const StartOrder&)> drops_start;        ///< the order does not arrive
+  std::function<bool(const StartOrder&)> drops_start_reply;  ///< the order is carried out without an answer
+  std::function<Duration(const StartOrder&)> start_delay;    ///< an order without an answer arrives late
+  std::function<OrderStatus(const StartOrder&)> start_status;
   int policy_calls = 0;
 
  private:
-  class FleetPort : public UpstreamPort {
+  class FleetPort : public UpstreamClient {
    public:
-    FleetPort(CellWorld& world, Instance& instance) : m_world(world), m_instance(instance) {}
+    FleetPort(SimulatedCluster& world, Instance& instance) : m_world(world), m_instance(instance) {}
 
     void Start(const StartOrder& order, std::function<void(OrderReply)> done) override {
       FakeUpstream* upstream = Reach(order.target);
-      const bool is_lost = upstream == nullptr || (m_world.loses_start && m_world.loses_start(order));
+      const bool is_lost = upstream == nullptr || (m_world.drops_start && m_world.drops_start(order));
       const auto late = m_world.start_delay ? m_world.start_delay(order) : Duration::zero();
       if (late > Duration::zero() && upstream != nullptr) {
         // Orders that wait inside an upstream are lost with its process.
-        m_world.queue.After(late, [upstream, order, life = upstream->listing().incarnation] {
-          if (upstream->listing().incarnation == life) upstream->Start(order, WorkOf(order));
+        m_world.queue.After(late, [upstream, order, process_incarnation = upstream->listing().incarnation] {
+          if (upstream->listing().incarnation == process_incarnation) upstream->Start(order, WorkOf(order));
         });
       }
       if (is_lost || late > Duration::zero()) return Later(kOrderTimeout, [done] { done({}); });
-      if (m_world.refuses_start) {
-        const OrderStatus status = m_world.refuses_start(order);
+      if (m_world.start_status) {
+        const OrderStatus status = m_world.start_status(order);
         if (status != OrderStatus::kAccepted) return Later(kPeerLatency, [done, status] { done({status, 0}); });
       }
       m_world.queue.After(kPeerLatency, [this, upstream, order, done] {
         const OrderReply reply = upstream->Start(order, WorkOf(order));
-        const bool is_silent = m_world.loses_start_answer && m_world.loses_start_answer(order);
+        const bool is_silent = m_world.drops_start_reply && m_world.drops_start_reply(order);
         Later(is_silent ? kOrderTimeout : kPeerLatency,
               [done, reply, is_silent] { done(is_silent ? OrderReply{} : reply); });
       });
@@ -278,7 +278,7 @@
 
     FakeUpstream* Reach(const UpstreamTarget& target) {
       FakeUpstream* upstream = m_world.FindUpstream(target.address);
-      const bool is_cut = m_instance.cut_from.contains(target.address);
+      const bool is_cut = m_instance.partitioned_from.contains(target.address);
       if (upstream == nullptr || !upstream->is_reachable || is_cut) return nullptr;
       return upstream;
     }
@@ -286,17 +286,17 @@
     /// Calls back unless the process has ended.
     void Later(Duration delay, std::function<void()> action) { m_world.LaterFor(m_instance, delay, std::move(action)); }
 
-    CellWorld& m_world;
+    SimulatedCluster& m_world;
     Instance& m_instance;
   };
 
-  class FakePolicy : public PolicyPort {
+  class FakePolicy : public PolicyClient {
    public:
-    explicit FakePolicy(CellWorld& world) : m_world(world) {}
-    void Ask(const std::string& /*agent*/, const PolicyQuestion& question,
-             std::function<void(PolicyAnswer)> done) override {
+    explicit FakePolicy(SimulatedCluster& world) : m_world(world) {}
+    void RequestTickets(const std::string& /*agent*/, const PolicyRequest& question,
+                        std::function<void(PolicyReply)> done) override {
       ++m_world.policy_calls;
-      PolicyAnswer answer;
+      PolicyReply answer;
       answer.is_answered = true;
       answer.ticket_ms = 2000;
       for (const UpstreamId& id : question.upstreams) answer.tickets.emplace_back(id, "ticket");
@@ -304,48 +304,49 @@
     }
 
    private:
-    CellWorld& m_world;
+    SimulatedCluster& m_world;
   };
 
   class FakeFeeds : public CellFeeds {
    public:
-    FakeFeeds(CellWorld& world, Instance& instance, FeedListener& listener)
+    FakeFeeds(SimulatedCluster& world, Instance& instance, FeedListener& listener)
         : m_world(world), m_instance(instance), m_listener(listener) {}
     void OnTick(Time now) override {
       const StoreFault fault = m_instance.store->fault;
       if ((fault != StoreFault::kNone && fault != StoreFault::kSlow) || now < m_next) return;
       m_next = now + std::chrono::milliseconds(100);
       m_listener.OnConfig(std::make_shared<const CellConfig>(*m_world.config));
-      m_listener.OnDomainsOut(m_world.domains_out);
+      m_listener.OnDomainsOutOfService(m_world.domains_out_of_service);
       std::set<UpstreamId> listed;
-      for (const auto& upstream : m_world.fleet) {
+      for (const auto& upstream : m_world.fake_upstreams) {
         if (!upstream->is_reachable) continue;
         m_listener.OnUpstreamListed(upstream->listing());
         listed.insert(upstream->listing().id);
       }
-      m_listener.OnListComplete(listed);
+      m_listener.OnUpstreamListComplete(listed);
       m_listener.OnConfigCurrent(now);
     }
 
    private:
-    CellWorld& m_world;
+    SimulatedCluster& m_world;
     Instance& m_instance;
     FeedListener& m_listener;
     Time m_next{};
   };
 
   void LaterFor(Instance& instance, Duration delay, std::function<void()> action) {
-    queue.After(delay, [this, &instance, life = instance.life, action = std::move(action)]() mutable {
-      if (instance.life != life) return;
+    queue.After(delay, [this, &instance, process_incarnation = instance.process_incarnation,
+                        action = std::move(action)]() mutable {
+      if (instance.process_incarnation != process_incarnation) return;
       // A frozen process handles what came in meanwhile when it wakes.
-      if (instance.is_frozen) return LaterFor(instance, kTick, std::move(action));
+      if (instance.is_paused) return LaterFor(instance, kTick, std::move(action));
       action();
     });
   }
 
   void Boot(Instance& instance) {
     instance.is_up = true;
-    ++instance.life;
+    ++instance.process_incarnation;
     CellInstance::Ports ports{*instance.store,
                               *instance.upstreams,
                               *instance.policy,
@@ -361,13 +362,13 @@
                               [] {}};
     const std::uint64_t rank = static_cast<std::uint64_t>(instance.address.back() - '0');
     instance.cell = std::make_unique<CellInstance>(std::move(ports), instance.address, 250, rank, queue.now());
-    Tick(instance, instance.life);
+    Tick(instance, instance.process_incarnation);
   }
 
-  void Tick(Instance& instance, std::uint64_t life) {
-    if (instance.life != life) return;
-    if (!instance.is_frozen) instance.cell->OnTick(queue.now(), ToMillis(queue.now().time_since_epoch()));
-    queue.After(kTick, [this, &instance, life] { Tick(instance, life); });
+  void Tick(Instance& instance, std::uint64_t process_incarnation) {
+    if (instance.process_incarnation != process_incarnation) return;
+    if (!instance.is_paused) instance.cell->OnTick(queue.now(), ToMillis(queue.now().time_since_epoch()));
+    queue.After(kTick, [this, &instance, process_incarnation] { Tick(instance, process_incarnation); });
   }
 
   void SendPeer(Instance& from, const std::string& address, HttpRequest request, Time deadline,
@@ -382,7 +383,8 @@
     for (const auto& instance : instances) {
       if (instance->address == address) target = instance.get();
     }
-    if (target == nullptr || from.cut_from.contains(address) || target->cut_from.contains(from.address)) return;
+    if (target == nullptr || from.partitioned_from.contains(address) || target->partitioned_from.contains(from.address))
+      return;
     if (!target->is_up) {
       PeerResult refused;
       refused.was_sent = false;
--- a/src/instance/cell_fault_schedule_test.cc
+++ b/src/instance/cell_fault_schedule_test.cc
@@ -21,9 +21,9 @@
   constexpr int kJobs = 60;
   std::mt19937 random(GetParam());
   const auto pick = [&random](int bound) { return static_cast<int>(random() % static_cast<unsigned>(bound)); };
-  CellWorld world(kInstances, kUpstreams);
+  SimulatedCluster world(kInstances, kUpstreams);
   world.Run(seconds(2));
-  world.loses_start_answer = [&pick](const StartOrder&) { return pick(40) == 0; };
+  world.drops_start_reply = [&pick](const StartOrder&) { return pick(40) == 0; };
   world.start_delay = [&pick](const StartOrder&) {
     return pick(60) == 0 ? Duration(milliseconds(2000 + pick(6000))) : Duration::zero();
   };
@@ -50,35 +50,37 @@
         break;
       }
       case 2:
-        world.At(instance).is_frozen = true;
-        world.queue.After(milliseconds(500 + pick(3500)), [&world, instance] { world.At(instance).is_frozen = false; });
+        world.At(instance).is_paused = true;
+        world.queue.After(milliseconds(500 + pick(3500)), [&world, instance] { world.At(instance).is_paused = false; });
         break;
       case 3:
-        world.fleet[static_cast<std::size_t>(upstream)]->is_reachable = false;
-        world.queue.After(milliseconds(500 + pick(9000)),
-                          [&world, upstream] { world.fleet[static_cast<std::size_t>(upstream)]->is_reachable = true; });
+        world.fake_upstreams[static_cast<std::size_t>(upstream)]->is_reachable = false;
+        world.queue.After(milliseconds(500 + pick(9000)), [&world, upstream] {
+          world.fake_upstreams[static_cast<std::size_t>(upstream)]->is_reachable = true;
+        });
         break;
       case 4:
-        world.fleet[static_cast<std::size_t>(upstream)]->Restart();
+        world.fake_upstreams[static_cast<std::size_t>(upstream)]->Restart();
         break;
       case 5:
-        world.At(instance).cut_from.insert("u" + std::to_string(upstream));
-        world.At(instance).cut_from.insert("i" + std::to_string(pick(kInstances)));
-        world.queue.After(milliseconds(500 + pick(4000)), [&world, instance] { world.At(instance).cut_from.clear(); });
+        world.At(instance).partitioned_from.insert("u" + std::to_string(upstream));
+        world.At(instance).partitioned_from.insert("i" + std::to_string(pick(kInstances)));
+        world.queue.After(milliseconds(500 + pick(4000)),
+                          [&world, instance] { world.At(instance).partitioned_from.clear(); });
         break;
       default:
         break;
     }
     world.Run(milliseconds(100 + pick(400)));
   }
-  world.loses_start_answer = nullptr;
+  world.drops_start_reply = nullptr;
   world.start_delay = nullptr;
   world.Run(seconds(45));
   ASSERT_GE(world.Leader(), 0);
   for (int i = 0; i < kJobs; ++i) {
     const std::string job = "job" + std::to_string(i);
     if (world.LastStatus("POST " + job) != kAccepted) continue;
-    EXPECT_EQ(StateOf(world, world.Leader(), job), "completed");
+    EXPECT_EQ(GetJobState(world, world.Leader(), job), "completed");
     EXPECT_EQ(world.LastStatus("GET " + job), kState);
   }
   ExpectNoViolation(world);
--- a/src/instance/cell_instance.cc
+++ b/src/instance/cell_instance.cc
@@ -60,11 +60,12 @@
 }  // namespace
 
 /// Routes the leader's policy calls to this instance or to another one.
-class CellInstance::PeerPolicy : public PolicyPort {
+class CellInstance::PeerPolicy : public PolicyClient {
  public:
   explicit PeerPolicy(CellInstance& instance) : m_instance(instance) {}
-  void Ask(const std::string& agent, const PolicyQuestion& question, std::function<void(PolicyAnswer)> done) override {
-    m_instance.Ask(agent, question, std::move(done));
+  void RequestTickets(const std::string& agent, const PolicyRequest& question,
+                      std::function<void(PolicyReply)> done) override {
+    m_instance.RequestTickets(agent, question, std::move(done));
   }
 
  private:
@@ -194,7 +195,7 @@
   if (request.target == kBeatPath) {
     const std::optional<Beat> beat = DecodeBeat(request.body);
     if (beat && beat->record.address.empty()) {
-      m_leadership.ReadSoon();
+      m_leadership.RequestRead();
       m_ports.request_tick();
     } else if (beat) {
       OnBeat(*beat);
@@ -212,23 +213,23 @@
     return done({kStatusOk, {}, EncodeBeat(OwnBeat())});
   }
   if (request.target == kAdvisePath) {
-    const std::optional<PolicyQuestion> question = DecodeQuestion(request.body);
+    const std::optional<PolicyRequest> question = DecodeQuestion(request.body);
     if (!question) return done({kStatusBadRequest, {}, ""});
-    return m_ports.policy.Ask("", *question, [done](const PolicyAnswer& answer) {
+    return m_ports.policy.RequestTickets("", *question, [done](const PolicyReply& answer) {
       done({answer.is_answered ? kStatusOk : kStatusUnavailable, {}, EncodeAnswer(answer)});
     });
   }
   done({kStatusNotFound, {}, ""});
 }
 
-void CellInstance::Ask(const std::string& agent, const PolicyQuestion& question,
-                       std::function<void(PolicyAnswer)> done) {
-  if (agent.empty()) return m_ports.policy.Ask("", question, std::move(done));
+void CellInstance::RequestTickets(const std::string& agent, const PolicyRequest& question,
+                                  std::function<void(PolicyReply)> done) {
+  if (agent.empty()) return m_ports.policy.RequestTickets("", question, std::move(done));
   const Time deadline = m_now + std::chrono::milliseconds(question.expected_ms + kPolicyMarginMs);
   m_ports.send_peer(agent, PeerMessage(kAdvisePath, EncodeQuestion(question)), deadline,
                     [done = std::move(done)](const PeerResult& result) {
                       const bool is_ok = result.is_answered && result.response.status == kStatusOk;
-                      done(is_ok ? DecodeAnswer(result.response.body).value_or(PolicyAnswer{}) : PolicyAnswer{});
+                      done(is_ok ? DecodeAnswer(result.response.body).value_or(PolicyReply{}) : PolicyReply{});
                     });
 }
 
@@ -255,7 +256,7 @@
   m_next_hello = m_now + kHelloPause;
   m_ports.send_peer(m_leadership.leader_address(), PeerMessage(kHelloPath, EncodeHello({m_address, m_cpu_millis})),
                     m_now + kBeatTime, [this](const PeerResult& result) {
-                      if (!result.was_sent) m_leadership.OnLeaderRefused(m_now);
+                      if (!result.was_sent) m_leadership.OnLeaderConnectionRefused(m_now);
                       if (!result.is_answered || result.response.status != kStatusOk) return;
                       if (const std::optional<Beat> beat = DecodeBeat(result.response.body)) OnBeat(*beat);
                     });
@@ -279,7 +280,7 @@
   if (m_term == nullptr) return;
   std::vector<std::string> agents = {""};
   for (const auto& [address, follower] : m_followers) agents.push_back(address);
-  m_term->SetAgents(agents);
+  m_term->SetPolicyCallers(agents);
 }
 
 void CellInstance::BeginStop() {
@@ -340,7 +341,7 @@
   gauges["jaymast_uncommitted_jobs"] = static_cast<double>(scheduler.uncommitted_jobs());
   gauges["jaymast_record_rows"] = static_cast<double>(scheduler.record_rows());
   gauges["jaymast_upstreams"] = static_cast<double>(scheduler.upstreams());
-  gauges["jaymast_usable_upstreams"] = static_cast<double>(scheduler.CountUsable());
+  gauges["jaymast_usable_upstreams"] = static_cast<double>(scheduler.CountUsableUpstreams());
   gauges["jaymast_unacknowledged_ends"] = static_cast<double>(scheduler.CountUnacknowledgedEnds());
   gauges["jaymast_followers"] = static_cast<double>(m_followers.size());
   return gauges;
--- a/src/instance/cell_instance.h
+++ b/src/instance/cell_instance.h
@@ -9,8 +9,8 @@
 
 #include "base/time.h"
 #include "cell/cell_event_sink.h"
-#include "cell/leadership.h"
-#include "cell/policy_port.h"
+#include "cell/leader_election.h"
+#include "cell/policy_client.h"
 #include "cell/state_store.h"
 #include "instance/cell_term.h"
 #include "instance/peer_codec.h"
@@ -47,8 +47,8 @@
  public:
   struct Ports {
     StateStore& store;
-    UpstreamPort& upstreams;
-    PolicyPort& policy;  ///< of this instance
+    UpstreamClient& upstreams;
+    PolicyClient& policy;  ///< of this instance
     CellEventSink& events;
     const ClientCodec& codec;
     PeerSend send_peer;
@@ -98,7 +98,7 @@
   void UpdateAgents();
   void YieldToStronger();
   std::string ChooseSuccessor() const;
-  void Ask(const std::string& agent, const PolicyQuestion& question, std::function<void(PolicyAnswer)> done);
+  void RequestTickets(const std::string& agent, const PolicyRequest& question, std::function<void(PolicyReply)> done);
 
   Ports m_ports;
   const std::string m_address;
@@ -107,7 +107,7 @@
   std::int64_t m_unix_now_ms = 0;
   const Time m_started_at;
   Relay m_relay;
-  Leadership m_leadership;
+  LeaderElection m_leadership;
   std::unique_ptr<PeerPolicy> m_peer_policy;
   std::unique_ptr<CellTerm> m_term;
   std::vector<std::pair<Time, std::unique_ptr<CellTerm>>> m_ended_terms;  ///< open calls still refer to them
--- a/src/instance/cell_takeover_test.cc
+++ b/src/instance/cell_takeover_test.cc
@@ -11,35 +11,35 @@
 using std::chrono::seconds;
 
 /// A leader in a world whose store is slow for it.
-int LeaderWithSlowStore(CellWorld& world) {
+int LeaderWithSlowStore(SimulatedCluster& world) {
   world.Run(seconds(2));
   const int leader = world.Leader();
   world.At(leader).store->fault = StoreFault::kSlow;
   return leader;
 }
 
-void SubmitSteadily(CellWorld& world, int instance, int jobs, const std::string& body, Duration pause) {
+void SubmitSteadily(SimulatedCluster& world, int instance, int jobs, const std::string& body, Duration pause) {
   for (int i = 0; i < jobs; ++i) {
     world.Call(instance, "POST", "job" + std::to_string(i), body);
     world.Run(pause);
   }
 }
 
-void ExpectAllAccepted(const CellWorld& world, int jobs) {
+void ExpectAllAccepted(const SimulatedCluster& world, int jobs) {
   for (int i = 0; i < jobs; ++i) EXPECT_EQ(world.LastStatus("POST job" + std::to_string(i)), kAccepted) << i;
 }
 
-void ExpectAllCompleted(CellWorld& world, int jobs) {
-  for (int i = 0; i < jobs; ++i) EXPECT_EQ(StateOf(world, 0, "job" + std::to_string(i)), "completed") << i;
+void ExpectAllCompleted(SimulatedCluster& world, int jobs) {
+  for (int i = 0; i < jobs; ++i) EXPECT_EQ(GetJobState(world, 0, "job" + std::to_string(i)), "completed") << i;
 }
 
 // Guards against calls that are sent into a cut, so that nobody can tell whether they ran.
 TEST(CellTakeoverTest, CallOfAnInstanceThatWasCutOffDidNotRun) {
-  CellWorld world(3, 4);
+  SimulatedCluster world(3, 4);
   world.Run(seconds(2));
   const int follower = AnyFollower(world);
-  world.At(follower).store->fault = StoreFault::kSilent;
-  for (int i = 0; i < 3; ++i) world.At(follower).cut_from.insert(world.At(i).address);
+  world.At(follower).store->fault = StoreFault::kNoReply;
+  for (int i = 0; i < 3; ++i) world.At(follower).partitioned_from.insert(world.At(i).address);
   world.Run(milliseconds(650));
   world.Call(follower, "POST", "job1", "tasks=1");
   world.Run(seconds(3));
@@ -48,7 +48,7 @@
 
 // Guards against two leaders that both accept, and against accepted jobs that are lost with the leader.
 TEST(CellTakeoverTest, AcceptedJobsSurviveTheLossOfTheLeader) {
-  CellWorld world(3, 4);
+  SimulatedCluster world(3, 4);
   world.Run(seconds(2));
   const int leader = world.Leader();
   const int follower = AnyFollower(world);
@@ -59,14 +59,14 @@
   ASSERT_GE(world.Leader(), 0);
   ASSERT_NE(world.Leader(), leader);
   world.Run(seconds(4));
-  for (int i = 0; i < 8; ++i) EXPECT_EQ(StateOf(world, follower, "job" + std::to_string(i)), "completed") << i;
-  for (const auto& [task, starts] : world.record.starts) EXPECT_EQ(starts, 1) << FormatTaskKey(task);
+  for (int i = 0; i < 8; ++i) EXPECT_EQ(GetJobState(world, follower, "job" + std::to_string(i)), "completed") << i;
+  for (const auto& [task, starts] : world.history.starts) EXPECT_EQ(starts, 1) << FormatTaskKey(task);
   ExpectNoViolation(world);
 }
 
 // Guards against a takeover that takes longer than needed when nobody listens at the address of the leader.
 TEST(CellTakeoverTest, KilledLeaderIsReplacedWithinOneSecond) {
-  CellWorld world(3, 2);
+  SimulatedCluster world(3, 2);
   world.Run(seconds(2));
   world.Kill(world.Leader());
   world.Run(milliseconds(1000));
@@ -75,7 +75,7 @@
 
 // Guards against waiting for the silence of a leader that every instance knows to be gone.
 TEST(CellTakeoverTest, RestartOfAllInstancesTakesOverAtOnce) {
-  CellWorld world(3, 2);
+  SimulatedCluster world(3, 2);
   world.Run(seconds(2));
   for (int i = 0; i < 3; ++i) world.Kill(i);
   world.Run(milliseconds(500));
@@ -86,10 +86,10 @@
 
 // Guards against a leader that can't write and still keeps its followers waiting.
 TEST(CellTakeoverTest, LeaderWithoutTheStoreIsReplaced) {
-  CellWorld world(3, 2);
+  SimulatedCluster world(3, 2);
   world.Run(seconds(2));
   const int leader = world.Leader();
-  world.At(leader).store->fault = StoreFault::kSilent;
+  world.At(leader).store->fault = StoreFault::kNoReply;
   world.Run(milliseconds(1500));
   EXPECT_NE(world.Leader(), leader);
   EXPECT_GE(world.Leader(), 0);
@@ -98,23 +98,23 @@
 // Guards against clients that are kept in a failure domain that can't serve them: its instances hear each other, but
 // neither the store nor the new leader.
 TEST(CellTakeoverTest, InstancesCutOffWithTheirLeaderAreNotReady) {
-  CellWorld world(4, 2);
+  SimulatedCluster world(4, 2);
   world.Run(seconds(2));
   const int leader = world.Leader();
   const int companion = AnyFollower(world);
   for (int i = 0; i < 4; ++i) {
     const bool is_inside = i == leader || i == companion;
-    if (is_inside) world.At(i).store->fault = StoreFault::kSilent;
-    world.At(i).cut_from.insert(is_inside ? "u0" : "u1");
+    if (is_inside) world.At(i).store->fault = StoreFault::kNoReply;
+    world.At(i).partitioned_from.insert(is_inside ? "u0" : "u1");
     for (int j = 0; j < 4; ++j) {
-      if (is_inside != (j == leader || j == companion)) world.At(i).cut_from.insert(world.At(j).address);
+      if (is_inside != (j == leader || j == companion)) world.At(i).partitioned_from.insert(world.At(j).address);
     }
   }
   world.Run(milliseconds(2500));
   for (int i = 0; i < 4; ++i) {
     const bool is_inside = i == leader || i == companion;
     EXPECT_EQ(world.At(i).cell->is_ready(), !is_inside) << i;
-    world.At(i).cut_from.clear();
+    world.At(i).partitioned_from.clear();
     world.At(i).store->fault = StoreFault::kNone;
   }
   world.Run(milliseconds(1500));
@@ -123,7 +123,7 @@
 
 // Guards against instances that leave the rotation of clients because the store is slow.
 TEST(CellTakeoverTest, SlowStoreKeepsInstancesReady) {
-  CellWorld world(3, 2);
+  SimulatedCluster world(3, 2);
   world.Run(seconds(2));
   for (int i = 0; i < 3; ++i) world.At(i).store->fault = StoreFault::kSlow;
   for (int step = 0; step < 50; ++step) {
@@ -134,7 +134,7 @@
 
 // Guards against a takeover during an outage of the store, and against work that is dropped in one.
 TEST(CellTakeoverTest, OutageOfTheStoreKeepsTheLeaderAndTheRunningWork) {
-  CellWorld world(3, 2);
+  SimulatedCluster world(3, 2);
   world.Run(seconds(2));
   const int leader = world.Leader();
   world.Call(0, "POST", "job1", "tasks=2 ms=6000");
@@ -147,15 +147,15 @@
   EXPECT_EQ(world.LastStatus("POST job2"), static_cast<int>(ClientOutcome::kUnavailable)) << "known at arrival";
   for (int i = 0; i < 3; ++i) world.At(i).store->fault = StoreFault::kNone;
   world.Run(seconds(3));
-  EXPECT_EQ(StateOf(world, 0, "job1"), "completed");
-  for (const auto& [task, starts] : world.record.starts) EXPECT_EQ(starts, 1) << FormatTaskKey(task);
+  EXPECT_EQ(GetJobState(world, 0, "job1"), "completed");
+  for (const auto& [task, starts] : world.history.starts) EXPECT_EQ(starts, 1) << FormatTaskKey(task);
   ExpectNoViolation(world);
 }
 
 // Guards against more rows than a slow store takes: 90 in a transaction, and 2.5 transactions a second.
 TEST(CellTakeoverTest, SlowStoreTakesABurstOfJobs) {
   constexpr int kJobs = 240;
-  CellWorld world(2, 12);
+  SimulatedCluster world(2, 12);
   const int leader = LeaderWithSlowStore(world);
   SubmitSteadily(world, leader, kJobs, "tasks=1 ms=300", milliseconds(12));
   world.Run(seconds(3));
@@ -167,7 +167,7 @@
 // Guards against a limit on the jobs that one transaction can carry.
 TEST(CellTakeoverTest, SlowStoreTakesTwoHundredJobsASecond) {
   constexpr int kJobs = 800;
-  CellWorld world(2, 40);
+  SimulatedCluster world(2, 40);
   const int leader = LeaderWithSlowStore(world);
   SubmitSteadily(world, leader, kJobs, "tasks=1 cpu=100 ms=300", milliseconds(5));
   // Two transactions for the acceptance; the last job has a transaction each for its assignment and its end.
@@ -180,39 +180,39 @@
 
 // Guards against a second transaction that is sent before it is certain what became of the first.
 TEST(CellTakeoverTest, LostAnswersOfTheStoreAreSettled) {
-  CellWorld world(2, 2);
+  SimulatedCluster world(2, 2);
   world.Run(seconds(2));
   const int leader = world.Leader();
-  world.At(leader).store->fault = StoreFault::kAnswerLost;
+  world.At(leader).store->fault = StoreFault::kReplyLost;
   world.Call(leader, "POST", "job1", "tasks=2 ms=300");
   world.Run(milliseconds(500));
   world.At(leader).store->fault = StoreFault::kNone;
   world.Run(seconds(4));
   EXPECT_EQ(world.LastStatus("POST job1"), kAccepted);
-  EXPECT_EQ(StateOf(world, 0, "job1"), "completed");
+  EXPECT_EQ(GetJobState(world, 0, "job1"), "completed");
   ExpectNoViolation(world);
 }
 
 // Guards against a deposed leader that goes on to order.
 TEST(CellTakeoverTest, FrozenLeaderIsFencedWhenItWakes) {
-  CellWorld world(3, 3);
+  SimulatedCluster world(3, 3);
   world.Run(seconds(2));
   const int leader = world.Leader();
   const int follower = AnyFollower(world);
   for (int i = 0; i < 5; ++i) world.Call(follower, "POST", "job" + std::to_string(i), "tasks=2 ms=2500");
   world.Run(milliseconds(60));
-  world.At(leader).is_frozen = true;
+  world.At(leader).is_paused = true;
   world.Run(seconds(4));
-  world.At(leader).is_frozen = false;
+  world.At(leader).is_paused = false;
   world.Run(seconds(6));
   EXPECT_FALSE(world.At(leader).cell->is_leader());
-  for (int i = 0; i < 5; ++i) EXPECT_EQ(StateOf(world, follower, "job" + std::to_string(i)), "completed") << i;
+  for (int i = 0; i < 5; ++i) EXPECT_EQ(GetJobState(world, follower, "job" + std::to_string(i)), "completed") << i;
   ExpectNoViolation(world);
 }
 
 // Guards against a planned stop that interrupts calls or takes a silence to replace the leader.
 TEST(CellTakeoverTest, StoppingLeaderHandsOverAtOnce) {
-  CellWorld world(3, 2);
+  SimulatedCluster world(3, 2);
   world.Run(seconds(2));
   const int leader = world.Leader();
   const int follower = AnyFollower(world);
@@ -223,8 +223,8 @@
   EXPECT_NE(world.Leader(), leader);
   EXPECT_TRUE(world.At(leader).cell->has_left());
   world.Run(seconds(3));
-  EXPECT_EQ(StateOf(world, follower, "job1"), "completed");
-  for (const auto& [task, starts] : world.record.starts) EXPECT_EQ(starts, 1) << FormatTaskKey(task);
+  EXPECT_EQ(GetJobState(world, follower, "job1"), "completed");
+  for (const auto& [task, starts] : world.history.starts) EXPECT_EQ(starts, 1) << FormatTaskKey(task);
 }
 
 }  // namespace
--- a/src/instance/cell_term.cc
+++ b/src/instance/cell_term.cc
@@ -32,7 +32,7 @@
           },
           deposed),
       m_journal(
-          store, record, version, [this] { return m_is_loaded ? m_scheduler.Collect() : JournalBatch{}; }, deposed,
+          store, record, version, [this] { return m_is_loaded ? m_scheduler.CollectBatch() : CommitBatch{}; }, deposed,
           m_request_tick),
       m_feeds(make_feeds(*this)) {}
 
@@ -42,8 +42,8 @@
   m_journal.OnTick(now);
   if (!m_are_jobs_loaded && !m_is_reading && now >= m_next_load) Load();
   m_feeds->OnTick(now);
-  m_scheduler.SetStanding({m_journal.confirmed_at(), m_journal.IsStalled(now, kStallBound),
-                           m_journal.IsStalled(now, kOutageBound), m_journal.store_now_ms(now), unix_now_ms});
+  m_scheduler.SetLeadershipStatus({m_journal.confirmed_at(), m_journal.IsStalled(now, kStallBound),
+                                   m_journal.IsStalled(now, kOutageBound), m_journal.store_now_ms(now), unix_now_ms});
   NoteStore();
   if (!m_is_loaded) return;
   m_scheduler.OnTick(now);
@@ -69,8 +69,8 @@
   CheckLoaded();
 }
 
-void CellTerm::OnListComplete(const std::set<UpstreamId>& listed) {
-  m_scheduler.OnListComplete(listed);
+void CellTerm::OnUpstreamListComplete(const std::set<UpstreamId>& listed) {
+  m_scheduler.OnUpstreamListComplete(listed);
   m_has_list = true;
   CheckLoaded();
 }
@@ -98,7 +98,7 @@
 void CellTerm::OnRow(const StateRow& row) {
   std::optional<std::vector<LogRecord>> records = DecodeLogRow(row.value);
   if (!records) return m_events.Emit("record.unreadable", {{"path", row.table + "/" + row.key}});
-  m_scheduler.AddRecordedRow(row, *records);
+  m_scheduler.LoadRow(row, *records);
   for (LogRecord& record : *records) {
     Loaded& loaded = m_loading[record.job];
     if (record.kind == RecordKind::kProgress) {
@@ -110,7 +110,7 @@
 }
 
 void CellTerm::AddJob(const JobId& id, const Loaded& loaded, std::int64_t store_now_ms) {
-  if (loaded.job.kind == RecordKind::kGone) return;
+  if (loaded.job.kind == RecordKind::kTombstone) return;
   Result<Job> job = DecodeJobRecord(id, loaded.job.text);
   if (!job) return m_events.Emit("record.unreadable", {{"path", job.error().path}, {"reason", job.error().reason}});
   const bool has_progress = loaded.job.kind == RecordKind::kJob && !loaded.progress.empty();
@@ -118,7 +118,7 @@
     return m_events.Emit("record.unreadable", {{"path", "progress of " + id.value()}});
   }
   const std::int64_t age_ms = std::max<std::int64_t>(0, store_now_ms - job->recorded_at_ms);
-  m_scheduler.AddRecordedJob(std::move(*job), age_ms);
+  m_scheduler.LoadJob(std::move(*job), age_ms);
 }
 
 void CellTerm::FinishJobs(std::int64_t store_now_ms) {
--- a/src/instance/cell_term.h
+++ b/src/instance/cell_term.h
@@ -10,7 +10,7 @@
 
 #include "base/time.h"
 #include "cell/cell_feeds.h"
-#include "cell/journal.h"
+#include "cell/group_committer.h"
 #include "cell/scheduler.h"
 #include "cell/state_store.h"
 
@@ -26,24 +26,26 @@
 
   void OnTick(Time now, std::int64_t unix_now_ms);
   void OnClientCall(const ClientCall& call, const ClientReplyFunction& reply);
-  void SetAgents(const std::vector<std::string>& addresses) { m_scheduler.SetAgents(addresses); }
+  void SetPolicyCallers(const std::vector<std::string>& addresses) { m_scheduler.SetPolicyCallers(addresses); }
   /// Ends the term after everything accepted so far is in the store.
   void HandOver(const std::string& successor) { m_journal.HandOver(successor); }
 
   /// Ignores everything that is still on its way.
   void Retire() { m_scheduler.Retire(); }
 
-  const Journal& journal() const { return m_journal; }
+  const GroupCommitter& journal() const { return m_journal; }
   const Scheduler& scheduler() const { return m_scheduler; }
   bool is_loaded() const { return m_is_loaded; }
 
   // FeedListener
   void OnConfig(std::shared_ptr<const CellConfig> config) override;
   void OnConfigCurrent(Time as_of) override { m_scheduler.OnConfigCurrent(as_of); }
-  void OnDomainsOut(std::set<DomainId> domains) override { m_scheduler.OnDomainsOut(std::move(domains)); }
+  void OnDomainsOutOfService(std::set<DomainId> domains) override {
+    m_scheduler.OnDomainsOutOfService(std::move(domains));
+  }
   void OnUpstreamListed(UpstreamListing listing) override { m_scheduler.OnUpstreamListed(std::move(listing)); }
   void OnUpstreamUnlisted(const UpstreamId& id) override { m_scheduler.OnUpstreamUnlisted(id); }
-  void OnListComplete(const std::set<UpstreamId>& listed) override;
+  void OnUpstreamListComplete(const std::set<UpstreamId>& listed) override;
 
  private:
   /// Newest records of a job in the rows read so far.
@@ -66,7 +68,7 @@
   const std::function<void()> m_request_tick;
   Time m_now;
   Scheduler m_scheduler;
-  Journal m_journal;
+  GroupCommitter m_journal;
   std::unique_ptr<CellFeeds> m_feeds;
   std::map<JobId, Loaded> m_loading;
   std::string m_load_from;
--- a/src/instance/peer_codec.cc
+++ b/src/instance/peer_codec.cc
@@ -47,7 +47,7 @@
   return hello;
 }
 
-std::string EncodeQuestion(const PolicyQuestion& question) {
+std::string EncodeQuestion(const PolicyRequest& question) {
   json::array upstreams;
   for (const UpstreamId& id : question.upstreams) upstreams.emplace_back(id.value());
   return json::serialize(json::object{{"job", question.job.value()},
@@ -57,11 +57,11 @@
                                       {"upstreams", std::move(upstreams)}});
 }
 
-std::optional<PolicyQuestion> DecodeQuestion(std::string_view text) {
+std::optional<PolicyRequest> DecodeQuestion(std::string_view text) {
   const Result<json::object> object = ParseObject(text, "question");
   if (!object) return std::nullopt;
   FieldReader reader(*object, "question");
-  PolicyQuestion question;
+  PolicyRequest question;
   question.job = JobId(reader.RequiredString("job", kMaxTextBytes));
   question.occurrence = static_cast<std::size_t>(reader.Int("occurrence", 0, 0, kMaxInt));
   question.step = static_cast<std::size_t>(reader.Int("step", 0, 0, kMaxInt));
@@ -76,18 +76,18 @@
   return question;
 }
 
-std::string EncodeAnswer(const PolicyAnswer& answer) {
+std::string EncodeAnswer(const PolicyReply& answer) {
   json::array tickets;
   for (const auto& [id, ticket] : answer.tickets) tickets.push_back(json::array{id.value(), ticket});
   return json::serialize(
       json::object{{"answered", answer.is_answered}, {"ticket_ms", answer.ticket_ms}, {"tickets", std::move(tickets)}});
 }
 
-std::optional<PolicyAnswer> DecodeAnswer(std::string_view text) {
+std::optional<PolicyReply> DecodeAnswer(std::string_view text) {
   const Result<json::object> object = ParseObject(text, "answer");
   if (!object) return std::nullopt;
   FieldReader reader(*object, "answer");
-  PolicyAnswer answer;
+  PolicyReply answer;
   answer.is_answered = reader.Bool("answered", false);
   answer.ticket_ms = reader.Int("ticket_ms", 0, 0, kMaxInt);
   if (const json::array* tickets = reader.Array("tickets")) {
--- a/src/instance/peer_codec.h
+++ b/src/instance/peer_codec.h
@@ -6,7 +6,7 @@
 #include <string_view>
 
 #include "cell/leader_record.h"
-#include "cell/policy_port.h"
+#include "cell/policy_client.h"
 
 namespace jaymast {
 
@@ -28,9 +28,9 @@
 std::string EncodeHello(const Hello& hello);
 std::optional<Hello> DecodeHello(std::string_view text);
 
-std::string EncodeQuestion(const PolicyQuestion& question);
-std::optional<PolicyQuestion> DecodeQuestion(std::string_view text);
-std::string EncodeAnswer(const PolicyAnswer& answer);
-std::optional<PolicyAnswer> DecodeAnswer(std::string_view text);
+std::string EncodeQuestion(const PolicyRequest& question);
+std::optional<PolicyRequest> DecodeQuestion(std::string_view text);
+std::string EncodeAnswer(const PolicyReply& answer);
+std::optional<PolicyReply> DecodeAnswer(std::string_view text);
 
 }  // namespace jaymast
