--- a/src/instance/cell_instance.cc
+++ b/src/instance/cell_instance.cc
@@ -60,11 +60,12 @@
 }  // namespace
 
 /// Routes the leader's policy calls to this instance or to another one.
-class CellInstance::PeerPolicy : public PolicyPort {
+class CellInstance::PeerPolicy : public PolicyClient {
  public:
   explicit PeerPolicy(CellInstance& instance) : m_instance(instance) {}
-  void Ask(const std::string& agent, const PolicyQuestion& question, std::function<void(PolicyAnswer)> done) override {
-    m_instance.Ask(agent, question, std::move(done));
+  void RequestTickets(const std::string& agent, const PolicyRequest& question,
+                      std::function<void(PolicyReply)> done) override {
+    m_instance.RequestTickets(agent, question, std::move(done));
   }
 
  private:
@@ -85,7 +86,7 @@
                                                   {"target", request.target},
                                                   {"waited_ms", std::to_string(ToMillis(waited))},
                                                   {"may_have_run", may_have_run ? "true" : "false"}});
-             return m_ports.codec.GiveUp(may_have_run);
+             return m_ports.codec.EncodeFailure(may_have_run);
            }}),
       m_leadership(m_ports.store, m_address, rank, cpu_millis < kStrongCpuMillis,
                    [this](const LeaderRecord& record, std::int64_t version) { BeginTerm(record, version); }),
@@ -149,7 +150,7 @@
 }
 
 void CellInstance::OnClientRequest(HttpRequest request, std::function<void(HttpResponse)> done) {
-  const std::int64_t told_ms = m_ports.codec.PatienceMs(request);
+  const std::int64_t told_ms = m_ports.codec.ClientTimeoutMs(request);
   const std::int64_t patience_ms = told_ms > 0 ? told_ms : kDefaultPatienceMs;
   const std::int64_t margin_ms = std::min(kAnswerMarginMs, patience_ms / kMarginPart);
   const Time deadline = m_now + std::chrono::milliseconds(std::max<std::int64_t>(1, patience_ms - margin_ms));
@@ -176,7 +177,7 @@
 
 void CellInstance::AnswerClient(const HttpRequest& request,
                                 const std::function<void(HttpResponse, bool is_undecided)>& done) {
-  if (m_term == nullptr) return done(m_ports.codec.GiveUp(false), true);
+  if (m_term == nullptr) return done(m_ports.codec.EncodeFailure(false), true);
   ClientCall call = m_ports.codec.Decode(request);
   call.call_id = std::string(FindHeader(request.headers, kCallIdHeader));
   m_term->OnClientCall(call, [this, call, done](const ClientReply& reply) {
@@ -194,7 +195,7 @@
   if (request.target == kBeatPath) {
     const std::optional<Beat> beat = DecodeBeat(request.body);
     if (beat && beat->record.address.empty()) {
-      m_leadership.ReadSoon();
+      m_leadership.RequestRead();
       m_ports.request_tick();
     } else if (beat) {
       OnBeat(*beat);
@@ -212,23 +213,23 @@
     return done({kStatusOk, {}, EncodeBeat(OwnBeat())});
   }
   if (request.target == kAdvisePath) {
-    const std::optional<PolicyQuestion> question = DecodeQuestion(request.body);
+    const std::optional<PolicyRequest> question = DecodeQuestion(request.body);
     if (!question) return done({kStatusBadRequest, {}, ""});
-    return m_ports.policy.Ask("", *question, [done](const PolicyAnswer& answer) {
+    return m_ports.policy.RequestTickets("", *question, [done](const PolicyReply& answer) {
       done({answer.is_answered ? kStatusOk : kStatusUnavailable, {}, EncodeAnswer(answer)});
     });
   }
   done({kStatusNotFound, {}, ""});
 }
 
-void CellInstance::Ask(const std::string& agent, const PolicyQuestion& question,
-                       std::function<void(PolicyAnswer)> done) {
-  if (agent.empty()) return m_ports.policy.Ask("", question, std::move(done));
+void CellInstance::RequestTickets(const std::string& agent, const PolicyRequest& question,
+                                  std::function<void(PolicyReply)> done) {
+  if (agent.empty()) return m_ports.policy.RequestTickets("", question, std::move(done));
   const Time deadline = m_now + std::chrono::milliseconds(question.expected_ms + kPolicyMarginMs);
   m_ports.send_peer(agent, PeerMessage(kAdvisePath, EncodeQuestion(question)), deadline,
                     [done = std::move(done)](const PeerResult& result) {
                       const bool is_ok = result.is_answered && result.response.status == kStatusOk;
-                      done(is_ok ? DecodeAnswer(result.response.body).value_or(PolicyAnswer{}) : PolicyAnswer{});
+                      done(is_ok ? DecodeAnswer(result.response.body).value_or(PolicyReply{}) : PolicyReply{});
                     });
 }
 
@@ -255,7 +256,7 @@
   m_next_hello = m_now + kHelloPause;
   m_ports.send_peer(m_leadership.leader_address(), PeerMessage(kHelloPath, EncodeHello({m_address, m_cpu_millis})),
                     m_now + kBeatTime, [this](const PeerResult& result) {
-                      if (!result.was_sent) m_leadership.OnLeaderRefused(m_now);
+                      if (!result.was_sent) m_leadership.OnLeaderConnectionRefused(m_now);
                       if (!result.is_answered || result.response.status != kStatusOk) return;
                       if (const std::optional<Beat> beat = DecodeBeat(result.response.body)) OnBeat(*beat);
                     });
@@ -279,7 +280,7 @@
   if (m_term == nullptr) return;
   std::vector<std::string> agents = {""};
   for (const auto& [address, follower] : m_followers) agents.push_back(address);
-  m_term->SetAgents(agents);
+  m_term->SetPolicyCallers(agents);
 }
 
 void CellInstance::BeginStop() {
@@ -340,12 +341,12 @@
   gauges["jaymast_uncommitted_jobs"] = static_cast<double>(scheduler.uncommitted_jobs());
   gauges["jaymast_record_rows"] = static_cast<double>(scheduler.record_rows());
   gauges["jaymast_upstreams"] = static_cast<double>(scheduler.upstreams());
-  gauges["jaymast_usable_upstreams"] = static_cast<double>(scheduler.CountUsable());
+  gauges["jaymast_usable_upstreams"] = static_cast<double>(scheduler.CountUsableUpstreams());
   gauges["jaymast_unacknowledged_ends"] = static_cast<double>(scheduler.CountUnacknowledgedEnds());
   gauges["jaymast_followers"] = static_cast<double>(m_followers.size());
   return gauges;
 }
 
-bool CellInstance::has_left() const { return m_is_stopping && m_term == nullptr; }
+bool CellInstance::can_exit() const { return m_is_stopping && m_term == nullptr; }
 
 }  // namespace jaymast
--- a/src/instance/cell_instance.h
+++ b/src/instance/cell_instance.h
@@ -9,8 +9,8 @@
 
 #include "base/time.h"
 #include "cell/cell_event_sink.h"
-#include "cell/leadership.h"
-#include "cell/policy_port.h"
+#include "cell/leader_election.h"
+#include "cell/policy_client.h"
 #include "cell/state_store.h"
 #include "instance/cell_term.h"
 #include "instance/peer_codec.h"
@@ -26,9 +26,9 @@
   virtual ClientCall Decode(const HttpRequest& request) const = 0;
   virtual HttpResponse Encode(const ClientCall& call, const ClientReply& reply) const = 0;
   /// How long the client waits, in ms; 0 when it does not tell.
-  virtual std::int64_t PatienceMs(const HttpRequest& request) const = 0;
+  virtual std::int64_t ClientTimeoutMs(const HttpRequest& request) const = 0;
   /// Answer for a call without a result.
-  virtual HttpResponse GiveUp(bool may_have_run) const = 0;
+  virtual HttpResponse EncodeFailure(bool may_have_run) const = 0;
 };
 
 /// Sends a message to another instance. `done` gets a null pointer when there is no answer.
@@ -47,8 +47,8 @@
  public:
   struct Ports {
     StateStore& store;
-    UpstreamPort& upstreams;
-    PolicyPort& policy;  ///< of this instance
+    UpstreamClient& upstreams;
+    PolicyClient& policy;  ///< of this instance
     CellEventSink& events;
     const ClientCodec& codec;
     PeerSend send_peer;
@@ -70,7 +70,7 @@
   void BeginStop();
 
   bool is_ready() const;
-  bool has_left() const;
+  bool can_exit() const;
   bool is_leader() const { return m_term != nullptr; }
   const CellTerm* term() const { return m_term.get(); }
   std::size_t open_calls() const { return m_relay.open_calls(); }
@@ -98,7 +98,7 @@
   void UpdateAgents();
   void YieldToStronger();
   std::string ChooseSuccessor() const;
-  void Ask(const std::string& agent, const PolicyQuestion& question, std::function<void(PolicyAnswer)> done);
+  void RequestTickets(const std::string& agent, const PolicyRequest& question, std::function<void(PolicyReply)> done);
 
   Ports m_ports;
   const std::string m_address;
@@ -107,7 +107,7 @@
   std::int64_t m_unix_now_ms = 0;
   const Time m_started_at;
   Relay m_relay;
-  Leadership m_leadership;
+  LeaderElection m_leadership;
   std::unique_ptr<PeerPolicy> m_peer_policy;
   std::unique_ptr<CellTerm> m_term;
   std::vector<std::pair<Time, std::unique_ptr<CellTerm>>> m_ended_terms;  ///< open calls still refer to them
--- a/src/placement/placer.cc
+++ b/src/placement/placer.cc
@@ -99,7 +99,7 @@
   const auto index = m_table.Find(id);
   if (!index) return;
   Hold(*index, spec, now);
-  CancelStart(spec);
+  CancelReservedStart(spec);
   m_ramp.OnStart(m_table.row(*index).domain, now);
   if (spec.work_class == WorkClass::kService) m_spread.Add(SpreadCounts::KeyOf(spec), m_table.row(*index), 1);
 }
@@ -122,7 +122,7 @@
   return reservation->start;
 }
 
-void Placer::CancelStart(const TaskSpec& spec) { m_backfill.Cancel(StableHash(spec.id.value())); }
+void Placer::CancelReservedStart(const TaskSpec& spec) { m_backfill.Cancel(StableHash(spec.id.value())); }
 
 Resources Placer::Free() const {
   Resources free;
@@ -310,7 +310,7 @@
 
 Time Placer::ExpectedEnd(const TaskSpec& spec, Time now) const {
   if (spec.work_class == WorkClass::kService) return Time::max();
-  const std::int64_t run_ms = m_estimator == nullptr ? spec.declared_run_ms : m_estimator->For(spec).run_ms;
+  const std::int64_t run_ms = m_estimator == nullptr ? spec.declared_run_ms : m_estimator->EstimateFor(spec).run_ms;
   // A task without a known run time must not be taken to end before a reserved start.
   if (run_ms <= 0) return Time::max();
   return now + std::chrono::milliseconds(run_ms);
--- a/src/upstream/executor_reports.cc
+++ b/src/upstream/executor_reports.cc
@@ -64,9 +64,9 @@
 
 }  // namespace
 
-void Executor::OnAcquired(const Acquisition& acquisition) {
+void Executor::OnAcquired(const AcquiredUpstream& acquisition) {
   const UpstreamId& id = acquisition.info.id;
-  m_allotments.Unlend(id);
+  m_allotments.DropRetainedUsage(id);
   OwnedUpstream& upstream = m_upstreams[id];
   upstream.info = acquisition.info;
   upstream.epoch = acquisition.epoch;
@@ -99,14 +99,14 @@
   upstream.tasks.insert(report.id);
   SetPhase(task, OwnedPhase::kRunning);
   m_placer.Reserve(id, task.spec, m_context.Now());
-  m_fair_share.Add(task.spec.team, task.spec.demand, m_context.Now());
+  m_fair_share.AddUsage(task.spec.team, task.spec.demand, m_context.Now());
   m_allotments.CountInherited(task.spec.team, 1);
   if (report.state != RunnerTaskState::kRunning) {
     End(report.id, OutcomeOf(report.state), report.output, report.run_ms, true);
   }
 }
 
-void Executor::OnLost(const UpstreamId& id) {
+void Executor::OnOwnershipLost(const UpstreamId& id) {
   const auto upstream = m_upstreams.find(id);
   if (upstream == m_upstreams.end()) return;
   std::map<TeamId, std::int64_t> lent;
@@ -116,7 +116,7 @@
     if (IsActive(task)) {
       ++lent[task.spec.team];
       m_lost_attempts[attempt] = m_context.Now() + kLostAttemptMemory;
-      m_fair_share.Remove(task.spec.team, task.spec.demand, m_context.Now());
+      m_fair_share.RemoveUsage(task.spec.team, task.spec.demand, m_context.Now());
     } else if (task.phase == OwnedPhase::kHeld) {
       FreeCapacity(task);
     }
@@ -124,7 +124,7 @@
     const bool is_only_here = task.phase == OwnedPhase::kEnded && !task.is_from_runner;
     if (!is_only_here) m_tasks.erase(attempt);
   }
-  if (!lent.empty()) m_allotments.Lend(id, lent);
+  if (!lent.empty()) m_allotments.RetainUsage(id, lent);
   m_placer.RemoveUpstream(id);
   m_upstreams.erase(upstream);
   UpdateEligibility();
@@ -142,16 +142,17 @@
   m_allotments.Refresh(teams);
 }
 
-void Executor::PrepareCover(const UpstreamId& id, const EntryId& from, const std::function<void(CoverChange)>& done) {
+void Executor::PrepareAllotmentTransfer(const UpstreamId& id, const EntryId& from,
+                                        const std::function<void(AllotmentTransfer)>& done) {
   const auto upstream = m_upstreams.find(id);
   if (upstream == m_upstreams.end()) return;
-  m_allotments.PrepareMove(upstream->second.inherited, from,
-                           [done](std::vector<Condition> conditions, std::vector<Write> writes) {
-                             done(CoverChange{std::move(conditions), std::move(writes)});
-                           });
+  m_allotments.PrepareTransfer(upstream->second.inherited, from,
+                               [done](std::vector<Condition> conditions, std::vector<Write> writes) {
+                                 done(AllotmentTransfer{std::move(conditions), std::move(writes)});
+                               });
 }
 
-void Executor::OnLapsed(const UpstreamId& id) {
+void Executor::OnLeasesExpired(const UpstreamId& id) {
   const auto upstream = m_upstreams.find(id);
   if (upstream == m_upstreams.end()) return;
   const std::set<AttemptId> tasks = upstream->second.tasks;
@@ -159,7 +160,7 @@
     const OwnedTask& task = m_tasks.at(attempt);
     if (IsLeased(task) && IsActive(task)) End(attempt, Outcome::kExpired, "the task lease lapsed", 0, false);
   }
-  OnLost(id);
+  OnOwnershipLost(id);
 }
 
 void Executor::RenewDue() {
@@ -177,7 +178,7 @@
   for (const AttemptId& id : upstream.tasks) {
     const OwnedTask& task = m_tasks.at(id);
     if (task.is_preview || task.phase != OwnedPhase::kRunning) continue;
-    const std::int64_t run_ms = m_estimator.For(task.spec).run_ms;
+    const std::int64_t run_ms = m_estimator.EstimateFor(task.spec).run_ms;
     const Time end = task.phase_since + std::chrono::milliseconds(run_ms);
     // A task without an estimate, or long past its expected end, waits for the regular renewal.
     const bool is_predictable = run_ms > 0 && upstream.answered_at < end + kOverdue;
@@ -316,7 +317,7 @@
 void Executor::FreeCapacity(const OwnedTask& task) {
   const Time now = m_context.Now();
   m_placer.Release(task.upstream, task.spec, now);
-  m_fair_share.Remove(task.spec.team, task.spec.demand, now);
+  m_fair_share.RemoveUsage(task.spec.team, task.spec.demand, now);
   m_allotments.Release(task.spec.team);
 }
 
