--- a/src/base/hash_test.cc
+++ b/src/base/hash_test.cc
@@ -12,7 +12,7 @@
   EXPECT_EQ(Sha256Hex("abc"), "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad");
 }
 
-TEST(HashTest, ConstantTimeEqualTellsTextsApart) {
+TEST(HashTest, ConstantTimeEqualComparesContentAndLength) {
   EXPECT_TRUE(ConstantTimeEqual("same", "same"));
   EXPECT_FALSE(ConstantTimeEqual("same", "sama"));
   EXPECT_FALSE(ConstantTimeEqual("same", "same-longer"));
--- a/src/core/entry_node.cc
+++ b/src/core/entry_node.cc
@@ -19,7 +19,7 @@
 constexpr Duration kFullReadInterval = std::chrono::seconds(4);
 
 /// The same while there are few entries.
-constexpr Duration kSmallFullReadInterval = std::chrono::seconds(1);
+constexpr Duration kSmallClusterFullReadInterval = std::chrono::seconds(1);
 
 /// Time between finding that a holder of allotments is gone and reclaiming them. An owner that was fenced by the holder
 /// during an outage has noticed by then and fenced it in turn.
@@ -34,10 +34,10 @@
 constexpr Duration kAdvanceInterval = std::chrono::milliseconds(100);
 
 /// Other failure domains that get a heartbeat each interval, drawn at random.
-constexpr std::size_t kRemoteSummaries = 4;
+constexpr std::size_t kRemoteSummaryCount = 4;
 
 /// Up to this many peers, all get a heartbeat.
-constexpr std::size_t kAllSummaries = 16;
+constexpr std::size_t kMaxPeersForFullBroadcast = 16;
 
 std::vector<Row> RowsWithPrefix(const std::vector<Row>& rows, std::string_view prefix) {
   std::vector<Row> found;
@@ -69,13 +69,13 @@
       m_previews(m_context, m_config, m_router, m_executor),
       m_tasks(m_context, m_table, m_config, m_membership, m_router,
               TaskManager::Hooks{[this](const EntryId& to, const PeerMessage& message) { Send(to, message); }}),
-      m_operations(m_context, m_table, m_config, m_membership, m_tasks, OperationsHooks()) {}
+      m_plan_service(m_context, m_table, m_config, m_membership, m_tasks, PlanServiceHooks()) {}
 
 Membership::Hooks EntryNode::MembershipHooks(std::function<void()> on_lease_lost) {
   Membership::Hooks hooks;
   hooks.on_lease_lost = std::move(on_lease_lost);
   hooks.on_peer_expired = [this] { m_next_owner_read = Time(); };
-  hooks.on_state = [this](EntryState state) { OnState(state); };
+  hooks.on_state = [this](EntryState state) { OnStateChange(state); };
   return hooks;
 }
 
@@ -103,10 +103,10 @@
   return hooks;
 }
 
-PlanService::Hooks EntryNode::OperationsHooks() {
+PlanService::Hooks EntryNode::PlanServiceHooks() {
   PlanService::Hooks hooks;
   hooks.facts = [this] { return Facts(); };
-  hooks.push = [this](const ClusterConfig& config) { Push(config); };
+  hooks.push = [this](const ClusterConfig& config) { BroadcastConfig(config); };
   return hooks;
 }
 
@@ -116,12 +116,12 @@
   m_executor.Start();
   m_tasks.Start();
   m_allotments.Start();
-  Sync();
+  PollTable();
   SendSummaries();
-  Advance();
+  AdvanceLifecycle();
 }
 
-void EntryNode::OnState(EntryState state) {
+void EntryNode::OnStateChange(EntryState state) {
   Event event;
   event.kind = EventKind::kEntryState;
   event.other = m_context.self;
@@ -132,14 +132,14 @@
   if (m_started && state != EntryState::kStopped && state != EntryState::kIsolated) m_membership.Renew();
 }
 
-void EntryNode::Sync() {
-  m_context.After(m_context.settings.renew_interval, [this] { Sync(); });
+void EntryNode::PollTable() {
+  m_context.After(m_context.settings.renew_interval, [this] { PollTable(); });
   ReadTable();
 }
 
 void EntryNode::ReadTable() {
-  if (m_syncing || IsStopped()) return;
-  m_syncing = true;
+  if (m_is_read_pending || IsStopped()) return;
+  m_is_read_pending = true;
   const Time now = m_context.Now();
   const bool is_full = now >= m_next_full_read;
   const bool has_owners = now >= m_next_owner_read;
@@ -152,15 +152,15 @@
   if (has_owners) request.prefixes.push_back(OwnerPrefix(m_context.settings.domain));
   const std::set<EntryId> absent = m_allotments.HoldersWithoutLease();
   m_table.Read(request, [this, is_full, has_owners, absent](const ReadReply& reply) {
-    m_syncing = false;
+    m_is_read_pending = false;
     if (!reply.available) m_membership.OnReadFailed();
-    if (reply.available) OnSynced(is_full, has_owners, reply);
+    if (reply.available) OnTableRead(is_full, has_owners, reply);
     if (reply.available && has_owners && IsServing()) ReclaimAllotments(absent);
     m_ownership.Reconcile();
   });
 }
 
-void EntryNode::OnSynced(bool is_full, bool has_owners, const ReadReply& reply) {
+void EntryNode::OnTableRead(bool is_full, bool has_owners, const ReadReply& reply) {
   const Time now = m_context.Now();
   const std::vector<Row> config = RowsWithPrefix(reply.rows, kConfigKey);
   bool has_config = false;
@@ -173,8 +173,8 @@
   const std::string own_prefix = std::string(kEntryPrefix) + m_context.settings.domain.value() + ".";
   const std::string prefix = is_full ? std::string(kEntryPrefix) : own_prefix;
   const bool changed = m_membership.OnRows(prefix, RowsWithPrefix(reply.rows, prefix));
-  const bool is_small = m_membership.peers().size() <= kAllSummaries;
-  if (is_full) m_next_full_read = now + (is_small ? kSmallFullReadInterval : kFullReadInterval);
+  const bool is_small = m_membership.peers().size() <= kMaxPeersForFullBroadcast;
+  if (is_full) m_next_full_read = now + (is_small ? kSmallClusterFullReadInterval : kFullReadInterval);
   if (has_owners) {
     const std::vector<Row> owners = RowsWithPrefix(reply.rows, OwnerPrefix(m_context.settings.domain));
     const std::int64_t intervals = 1 + static_cast<std::int64_t>(owners.size()) / kOwnerRowsPerInterval;
@@ -183,7 +183,7 @@
   }
   if (changed) m_next_owner_read = Time();
   m_tasks.OnAdoptRows(RowsWithPrefix(reply.rows, kAdoptPrefix));
-  if (IsServing()) m_operations.OnConfirmedRows(RowsWithPrefix(reply.rows, kConfirmedPrefix));
+  if (IsServing()) m_plan_service.OnConfirmedRows(RowsWithPrefix(reply.rows, kConfirmedPrefix));
 }
 
 void EntryNode::OnConfigMissing() {
@@ -206,29 +206,29 @@
   // A holder had a lease record when it wrote the row. If a later read finds none, the entry is gone for good.
   const Time now = m_context.Now();
   const std::set<EntryId> absent_now = m_allotments.HoldersWithoutLease();
-  std::erase_if(m_absent, [&absent_now](const auto& item) { return !absent_now.contains(item.first); });
+  std::erase_if(m_reclaim_at, [&absent_now](const auto& item) { return !absent_now.contains(item.first); });
   for (const EntryId& id : absent_now) {
-    if (absent_before_read.contains(id)) m_absent.try_emplace(id, now + kReclaimDelay);
+    if (absent_before_read.contains(id)) m_reclaim_at.try_emplace(id, now + kReclaimDelay);
   }
   if (!m_ownership.IsEveryUpstreamFenced()) return;
-  for (const auto& [id, due] : m_absent) {
+  for (const auto& [id, due] : m_reclaim_at) {
     const bool is_reclaimer = PreferredEntry(id.value(), m_membership.OwnerCandidates()) == m_context.self;
     if (now >= due && is_reclaimer) m_allotments.ReclaimFrom(id);
   }
 }
 
-void EntryNode::Advance() {
-  m_context.After(kAdvanceInterval, [this] { Advance(); });
+void EntryNode::AdvanceLifecycle() {
+  m_context.After(kAdvanceInterval, [this] { AdvanceLifecycle(); });
   switch (m_membership.state()) {
     case EntryState::kJoining:
       if (m_membership.IsJoined() && m_config.IsLoaded()) {
-        m_recover_until = m_context.Now() + kRecoverTimeout;
+        m_recover_deadline = m_context.Now() + kRecoverTimeout;
         m_membership.Handle(LifecycleEvent::kJoined);
       }
       return;
     case EntryState::kRecovering:
       m_ownership.Reconcile();
-      if ((m_ownership.HasFencedOwnUpstreams() && HasRoute()) || m_context.Now() >= m_recover_until) {
+      if ((m_ownership.HasFencedOwnUpstreams() && CanPlacePreviews()) || m_context.Now() >= m_recover_deadline) {
         m_membership.Handle(LifecycleEvent::kRecovered);
       }
       return;
@@ -243,7 +243,7 @@
   }
 }
 
-bool EntryNode::HasRoute() const {
+bool EntryNode::CanPlacePreviews() const {
   if (m_executor.HasUsableUpstream()) return true;
   const auto& peers = m_membership.peers();
   return std::any_of(peers.begin(), peers.end(), [this](const auto& item) {
@@ -254,7 +254,7 @@
 void EntryNode::OnStopRequested() {
   if (m_membership.state() == EntryState::kDraining || IsStopped()) return;
   m_membership.Handle(LifecycleEvent::kStopRequested);
-  m_drain_until = m_context.Now() + m_context.settings.drain_wait;
+  m_drain_deadline = m_context.Now() + m_context.settings.drain_wait;
   m_tasks.StopAccepting();
   m_executor.RefuseAllWaiting();
   m_ownership.HandOverAll();
@@ -262,11 +262,11 @@
 
 void EntryNode::AdvanceDrain() {
   // Callers that wait for outcomes are served as long as the settings allow, then get the state of their tasks.
-  if (m_tasks.HasWaiters() && m_context.Now() < m_drain_until) return;
+  if (m_tasks.HasWaiters() && m_context.Now() < m_drain_deadline) return;
   m_tasks.Drain();
-  const bool is_quiet = m_previews.open() == 0 && m_executor.OpenRuns() == 0 && m_tasks.IsQuiet() &&
-                        m_operations.IsIdle() && !m_ownership.IsHandingOver();
-  if (!is_quiet || m_membership.IsLeaving()) return;
+  const bool is_idle = m_previews.open() == 0 && m_executor.OpenRuns() == 0 && m_tasks.IsQuiet() &&
+                       m_plan_service.IsIdle() && !m_ownership.IsHandingOver();
+  if (!is_idle || m_membership.IsLeaving()) return;
   m_membership.Leave([this] { m_membership.Handle(LifecycleEvent::kDrained); });
 }
 
@@ -281,14 +281,15 @@
   const auto& peers = m_membership.peers();
   std::vector<EntryId> remote;
   for (const auto& [id, peer] : peers) {
-    const bool is_near = peer.record.domain == m_context.settings.domain || peers.size() <= kAllSummaries;
-    if (is_near) {
+    const bool is_always_sent =
+        peer.record.domain == m_context.settings.domain || peers.size() <= kMaxPeersForFullBroadcast;
+    if (is_always_sent) {
       m_effects.SendPeer(id, summary);
     } else {
       remote.push_back(id);
     }
   }
-  for (std::size_t i = 0; i < kRemoteSummaries && !remote.empty(); ++i) {
+  for (std::size_t i = 0; i < kRemoteSummaryCount && !remote.empty(); ++i) {
     m_effects.SendPeer(remote[m_effects.Random() % remote.size()], summary);
   }
 }
@@ -306,7 +307,7 @@
   ReadTable();
 }
 
-void EntryNode::Push(const ClusterConfig& config) {
+void EntryNode::BroadcastConfig(const ClusterConfig& config) {
   const ConfigPush push{boost::json::serialize(ToJson(config))};
   for (const auto& [id, peer] : m_membership.peers()) m_effects.SendPeer(id, push);
 }
--- a/src/core/entry_node.h
+++ b/src/core/entry_node.h
@@ -67,33 +67,33 @@
   Membership::Hooks MembershipHooks(std::function<void()> on_lease_lost);
   Ownership::Hooks OwnershipHooks();
   Executor::Hooks ExecutorHooks();
-  PlanService::Hooks OperationsHooks();
+  PlanService::Hooks PlanServiceHooks();
 
-  void Sync();
+  void PollTable();
   void ReadTable();
-  void OnSynced(bool is_full, bool has_owners, const ReadReply& reply);
+  void OnTableRead(bool is_full, bool has_owners, const ReadReply& reply);
   void OnConfigMissing();
   void OnConfigInstalled();
-  void OnState(EntryState state);
-  void Advance();
+  void OnStateChange(EntryState state);
+  void AdvanceLifecycle();
 
   /// Whether a preview could be placed: this entry owns a usable upstream, or a serving peer is heard. An entry that
   /// reports itself ready before that would refuse previews although others have room.
-  bool HasRoute() const;
+  bool CanPlacePreviews() const;
   void AdvanceDrain();
   void ReclaimAllotments(const std::set<EntryId>& absent_before_read);
   void SendSummaries();
   void SendSummary();
   void OnSummary(const EntryId& from, const Summary& summary);
   void Send(const EntryId& to, const PeerMessage& message);
-  void Push(const ClusterConfig& config);
+  void BroadcastConfig(const ClusterConfig& config);
   PlannerFacts Facts() const;
 
   // Requests.
   std::optional<Principal> Authenticate(RequestId id, const std::string& secret, Role role);
   std::optional<Error> AdmitSpec(const Principal& principal, TaskSpec& spec) const;
-  void Refuse(RequestId id, int status, Error error);
-  void AnswerLate(RequestId id);
+  void Reject(RequestId id, int status, Error error);
+  void ScheduleOperatorTimeout(RequestId id);
   void Serve(RequestId id, const PreviewRequest& request);
   void Serve(RequestId id, const SubmitRequest& request);
   void Serve(RequestId id, const TaskStatusRequest& request);
@@ -116,15 +116,15 @@
   Router m_router;
   PreviewGateway m_previews;
   TaskManager m_tasks;
-  PlanService m_operations;
+  PlanService m_plan_service;
   InstanceList m_instances;
-  std::map<EntryId, Time> m_absent;  ///< holders of allotments without a lease record, and when to reclaim them
+  std::map<EntryId, Time> m_reclaim_at;  ///< holders of allotments without a lease record, and when to reclaim them
   Time m_next_full_read;
   Time m_next_owner_read;
-  Time m_recover_until;
-  Time m_drain_until;
+  Time m_recover_deadline;
+  Time m_drain_deadline;
   std::uint64_t m_next_preview = 1;
-  bool m_syncing = false;
+  bool m_is_read_pending = false;
 };
 
 }  // namespace jaymast
--- a/src/core/entry_requests.cc
+++ b/src/core/entry_requests.cc
@@ -46,12 +46,12 @@
     event.kind = EventKind::kRequestReceived;
     event.request = id;
     m_effects.Emit(event);
-    return Refuse(id, kStatusUnavailable, Error{ErrorId::kNotServing, "", "this entry does not serve yet"});
+    return Reject(id, kStatusUnavailable, Error{ErrorId::kNotServing, "", "this entry does not serve yet"});
   }
   std::visit(RequestVisitor{*this, id}, request);
 }
 
-void EntryNode::Refuse(RequestId id, int status, Error error) {
+void EntryNode::Reject(RequestId id, int status, Error error) {
   Response response;
   response.status = status;
   response.verdict = Verdict::kNotRun;
@@ -70,14 +70,14 @@
     event.kind = EventKind::kKeyRefused;
     event.detail = std::string(ToString(principal.error().id));
     m_effects.Emit(event);
-    Refuse(id, kStatusUnauthorized, principal.error());
+    Reject(id, kStatusUnauthorized, principal.error());
     return std::nullopt;
   }
   event.team = principal->team;
   event.detail = principal->key.value();
   m_effects.Emit(event);
   if (role == Role::kOperator && principal->role != Role::kOperator) {
-    Refuse(id, kStatusForbidden, Error{ErrorId::kKeyRole, "Authorization", "an operator's key is needed"});
+    Reject(id, kStatusForbidden, Error{ErrorId::kKeyRole, "Authorization", "an operator's key is needed"});
     return std::nullopt;
   }
   return *principal;
@@ -100,14 +100,14 @@
   TaskSpec spec = request.spec;
   spec.work_class = WorkClass::kPreview;
   if (spec.semantics != Semantics::kIdempotent) {
-    return Refuse(id, kStatusBadRequest, Error{ErrorId::kInputField, "/semantics", "a preview must be idempotent"});
+    return Reject(id, kStatusBadRequest, Error{ErrorId::kInputField, "/semantics", "a preview must be idempotent"});
   }
-  if (const std::optional<Error> error = AdmitSpec(*principal, spec)) return Refuse(id, StatusOf(error->id), *error);
+  if (const std::optional<Error> error = AdmitSpec(*principal, spec)) return Reject(id, StatusOf(error->id), *error);
   if (!IsServing()) {
-    return Refuse(id, kStatusUnavailable, Error{ErrorId::kNotServing, "", "this entry does not take new work"});
+    return Reject(id, kStatusUnavailable, Error{ErrorId::kNotServing, "", "this entry does not take new work"});
   }
   if (m_previews.open() >= static_cast<std::size_t>(m_context.settings.max_open_requests)) {
-    return Refuse(id, kStatusUnavailable, Error{ErrorId::kQueueFull, "", "too many open previews"});
+    return Reject(id, kStatusUnavailable, Error{ErrorId::kQueueFull, "", "too many open previews"});
   }
   spec.id = TaskId(fmt::format("{}-v{}", m_context.self.value(), m_next_preview++));
   m_previews.Submit(id, std::move(spec), request.deadline);
@@ -118,7 +118,7 @@
   if (!principal) return;
   std::vector<TaskSpec> specs = request.specs;
   if (specs.empty()) {
-    return Refuse(id, kStatusBadRequest, Error{ErrorId::kInputField, "/tasks", "expected at least one task"});
+    return Reject(id, kStatusBadRequest, Error{ErrorId::kInputField, "/tasks", "expected at least one task"});
   }
   for (std::size_t i = 0; i < specs.size(); ++i) {
     std::optional<Error> error = AdmitSpec(*principal, specs[i]);
@@ -127,7 +127,7 @@
     }
     if (!error) continue;
     error->path = fmt::format("/tasks/{}{}", i, error->path);
-    return Refuse(id, StatusOf(error->id), *error);
+    return Reject(id, StatusOf(error->id), *error);
   }
   m_tasks.Submit(id, std::move(specs), request.wait_until);
 }
@@ -146,7 +146,7 @@
   m_tasks.Query(id, team, request.task, true, m_context.Now());
 }
 
-void EntryNode::AnswerLate(RequestId id) {
+void EntryNode::ScheduleOperatorTimeout(RequestId id) {
   m_context.After(kOperatorTimeout, [this, id] {
     Response response;
     response.status = kStatusGatewayTimeout;
@@ -158,20 +158,20 @@
 
 void EntryNode::Serve(RequestId id, const PlanRequest& request) {
   if (!Authenticate(id, request.secret, Role::kOperator)) return;
-  AnswerLate(id);
+  ScheduleOperatorTimeout(id);
   if (!IsServing()) {
-    return Refuse(id, kStatusUnavailable, Error{ErrorId::kNotServing, "", "this entry does not take new work"});
+    return Reject(id, kStatusUnavailable, Error{ErrorId::kNotServing, "", "this entry does not take new work"});
   }
-  m_operations.Plan(id, request.intents);
+  m_plan_service.Plan(id, request.intents);
 }
 
 void EntryNode::Serve(RequestId id, const ConfirmRequest& request) {
   if (!Authenticate(id, request.secret, Role::kOperator)) return;
-  AnswerLate(id);
+  ScheduleOperatorTimeout(id);
   if (!IsServing()) {
-    return Refuse(id, kStatusUnavailable, Error{ErrorId::kNotServing, "", "this entry does not take new work"});
+    return Reject(id, kStatusUnavailable, Error{ErrorId::kNotServing, "", "this entry does not take new work"});
   }
-  m_operations.Confirm(id, request.plan, request.base_version);
+  m_plan_service.Confirm(id, request.plan, request.base_version);
 }
 
 void EntryNode::Serve(RequestId id, const ViewRequest& request) {
--- a/src/core/table_client.cc
+++ b/src/core/table_client.cc
@@ -16,8 +16,8 @@
 
 TableClient::TableClient(Context& context)
     : m_context(context),
-      m_budget(static_cast<double>(context.settings.table_writes_per_second)),
-      m_budget_at(context.Now()) {}
+      m_write_budget(static_cast<double>(context.settings.table_writes_per_second)),
+      m_write_budget_updated_at(context.Now()) {}
 
 void TableClient::Commit(std::vector<Condition> conditions, std::vector<Write> writes, CommitDone done,
                          std::function<void()> on_unknown) {
@@ -36,12 +36,13 @@
       case CommitStatus::kNotSent:
         return done(CommitOutcome::kUnavailable, 0);
       case CommitStatus::kUnknown:
-        return Resolve(id, kFirstLookupDelay, done, on_unknown);
+        return ResolveOutcome(id, kFirstLookupDelay, done, on_unknown);
     }
   });
 }
 
-void TableClient::Resolve(const TransactionId& id, Duration delay, CommitDone done, std::function<void()> on_unknown) {
+void TableClient::ResolveOutcome(const TransactionId& id, Duration delay, CommitDone done,
+                                 std::function<void()> on_unknown) {
   if (on_unknown) on_unknown();
   m_context.After(delay, [this, id, delay, done = std::move(done), on_unknown = std::move(on_unknown)] {
     m_context.effects.Lookup(id, [this, id, delay, done, on_unknown](const LookupReply& reply) {
@@ -52,7 +53,7 @@
         case LookupStatus::kAbsent:
           return done(CommitOutcome::kUnavailable, 0);
         case LookupStatus::kUnavailable:
-          return Resolve(id, std::min(delay * 2, kMaxLookupDelay), done, on_unknown);
+          return ResolveOutcome(id, std::min(delay * 2, kMaxLookupDelay), done, on_unknown);
       }
     });
   });
@@ -68,11 +69,11 @@
 bool TableClient::TakeWriteBudget() {
   const Time now = m_context.Now();
   const auto rate = static_cast<double>(m_context.settings.table_writes_per_second);
-  const double elapsed_s = std::chrono::duration<double>(now - m_budget_at).count();
-  m_budget = std::min(rate, m_budget + elapsed_s * rate);
-  m_budget_at = now;
-  if (m_budget < 1.0) return false;
-  m_budget -= 1.0;
+  const double elapsed_s = std::chrono::duration<double>(now - m_write_budget_updated_at).count();
+  m_write_budget = std::min(rate, m_write_budget + elapsed_s * rate);
+  m_write_budget_updated_at = now;
+  if (m_write_budget < 1.0) return false;
+  m_write_budget -= 1.0;
   return true;
 }
 
--- a/src/core/table_client.h
+++ b/src/core/table_client.h
@@ -45,13 +45,13 @@
   bool IsReachable() const { return m_reachable; }
 
  private:
-  void Resolve(const TransactionId& id, Duration delay, CommitDone done, std::function<void()> on_unknown);
+  void ResolveOutcome(const TransactionId& id, Duration delay, CommitDone done, std::function<void()> on_unknown);
 
   Context& m_context;
   std::uint64_t m_next_transaction = 1;
   bool m_reachable = true;
-  double m_budget = 0;
-  Time m_budget_at;
+  double m_write_budget = 0;
+  Time m_write_budget_updated_at;
 };
 
 }  // namespace jaymast
--- a/src/model/codec.cc
+++ b/src/model/codec.cc
@@ -20,8 +20,8 @@
 constexpr std::int64_t kMaxSlots = 4096;
 constexpr std::int64_t kMaxConnections = 65536;
 constexpr std::int64_t kMaxRunMs = 365LL * 24 * 3600 * 1000;
-constexpr std::int64_t kMaxShare = 1'000'000;
-constexpr std::int64_t kMaxLimit = 1'000'000;
+constexpr std::int64_t kMaxTeamShare = 1'000'000;
+constexpr std::int64_t kMaxTeamLimit = 1'000'000;
 constexpr std::int64_t kMaxReplicas = 10'000;
 
 template <typename Tag>
@@ -68,8 +68,8 @@
 
 Team ReadTeam(FieldReader& reader) {
   Team team;
-  team.share = reader.Int("share", 1, 1, kMaxShare);
-  team.limit = reader.Int("limit", 0, 0, kMaxLimit);
+  team.share = reader.Int("share", 1, 1, kMaxTeamShare);
+  team.limit = reader.Int("limit", 0, 0, kMaxTeamLimit);
   return team;
 }
 
--- a/src/model/codec_test.cc
+++ b/src/model/codec_test.cc
@@ -14,18 +14,18 @@
   return TaskSpecFromJson(*object, "");
 }
 
-TEST(CodecTest, TaskSpecSurvivesARoundTrip) {
+TEST(CodecTest, TaskSpecsRoundTripUnchanged) {
   const Result<TaskSpec> spec = ParseSpec(
       R"({"id":"t1","team":"desk","kind":"load-check","class":"batch","semantics":"exclusive",
           "demand":{"cpu_millis":1500,"memory_mb":64,"slots":1},"body":"x","domain":"lahti"})");
   ASSERT_TRUE(spec) << spec.error().reason;
-  const Result<TaskSpec> again = ParseSpec(boost::json::serialize(ToJson(*spec)));
-  ASSERT_TRUE(again) << again.error().reason;
-  EXPECT_EQ(*spec, *again);
+  const Result<TaskSpec> decoded = ParseSpec(boost::json::serialize(ToJson(*spec)));
+  ASSERT_TRUE(decoded) << decoded.error().reason;
+  EXPECT_EQ(*spec, *decoded);
 }
 
 // Guards against input that is accepted although a field is misspelt, negative or of the wrong type.
-TEST(CodecTest, BadFieldsAreRefusedWithTheirPath) {
+TEST(CodecTest, InvalidFieldsAreRejectedWithTheirPath) {
   EXPECT_EQ(ParseSpec(R"({"tema":"desk"})").error().path, "/tema");
   EXPECT_EQ(ParseSpec(R"({"demand":{"memory_mb":-1}})").error().path, "/demand/memory_mb");
   EXPECT_EQ(ParseSpec(R"({"class":"urgentish"})").error().path, "/class");
@@ -34,7 +34,7 @@
   EXPECT_EQ(ParseSpec("[1]").error().id, ErrorId::kInputSyntax);
 }
 
-TEST(CodecTest, ConfigurationSurvivesARoundTrip) {
+TEST(CodecTest, ConfigurationsRoundTripUnchanged) {
   ClusterConfig config;
   config.version = 7;
   config.teams[TeamId("desk")] = Team{3, 100};
@@ -42,9 +42,9 @@
   config.domains_out_of_service.insert(DomainId("oslo-1"));
   config.upstreams_out_of_service.insert(UpstreamId("u9"));
   config.policies[WorkClass::kBatch] = "best-fit";
-  const Result<ClusterConfig> again = ClusterConfigFromJson(ToJson(config), "");
-  ASSERT_TRUE(again) << again.error().reason;
-  EXPECT_EQ(config, *again);
+  const Result<ClusterConfig> decoded = ClusterConfigFromJson(ToJson(config), "");
+  ASSERT_TRUE(decoded) << decoded.error().reason;
+  EXPECT_EQ(config, *decoded);
 }
 
 }  // namespace
--- a/src/model/hostile_input_test.cc
+++ b/src/model/malformed_input_test.cc
@@ -22,7 +22,7 @@
 
 /// Decoder of a JSON text for a decoder of JSON objects.
 template <typename FromJson>
-auto TextDecoder(const FromJson& from_json) {
+auto JsonTextDecoder(const FromJson& from_json) {
   return [from_json](const std::string& text) -> decltype(from_json(boost::json::object(), "")) {
     const Result<boost::json::object> object = ParseObject(text, "");
     if (!object) return object.error();
@@ -33,9 +33,11 @@
 constexpr auto kEncode = [](const auto& value) { return boost::json::serialize(ToJson(value)); };
 
 // These tests guard against a crash, an error without a place, and a value that is accepted but cannot be passed on.
-TEST(HostileInputTest, Tasks) { CheckMutatedJson({kSpec, "{}"}, TextDecoder(TaskSpecFromJson), kEncode); }
+TEST(MalformedInputTest, TaskSpecsDecodeOrFailWithAPath) {
+  CheckMutatedJson({kSpec, "{}"}, JsonTextDecoder(TaskSpecFromJson), kEncode);
+}
 
-TEST(HostileInputTest, Intents) {
+TEST(MalformedInputTest, IntentsDecodeOrFailWithAPath) {
   const std::string sha(64, 'a');
   const std::vector<std::string> samples = {
       std::string(R"({"type":"run","replicas":2,"task":)") + kSpec + "}",
@@ -47,33 +49,35 @@
       R"({"type":"upstream_in","upstream":"u1"})",
       R"({"type":"set_policy","class":"batch","policy":"best-fit"})",
   };
-  CheckMutatedJson(samples, TextDecoder(IntentFromJson), kEncode);
+  CheckMutatedJson(samples, JsonTextDecoder(IntentFromJson), kEncode);
 }
 
-TEST(HostileInputTest, Configuration) {
+TEST(MalformedInputTest, ConfigurationsDecodeOrFailWithAPath) {
   const std::string text = R"({"version":3,"teams":{"desk":{"share":2,"limit":40}},"keys":{"k1":{"team":"desk",
     "role":"operator","sha256":")" +
                            std::string(64, 'a') +
                            R"("}},"domains_out":["north"],"upstreams_out":["u1"],"policies":{"batch":"best-fit"}})";
-  CheckMutatedJson({text}, TextDecoder(ClusterConfigFromJson), kEncode);
+  CheckMutatedJson({text}, JsonTextDecoder(ClusterConfigFromJson), kEncode);
 }
 
-TEST(HostileInputTest, InstanceList) {
+TEST(MalformedInputTest, InstanceListsDecodeOrFailWithAPath) {
   const char* text = R"({"upstreams":[{"id":"u1","domain":"north","rack":"r","address":"127.0.0.1:1",
     "capacity":{"cpu_millis":1,"memory_mb":2,"accelerators":0,"slots":8},"connections":64,"leaving":true}]})";
-  CheckMutatedJson({text}, TextDecoder(InstanceListFromJson), kEncode);
+  CheckMutatedJson({text}, JsonTextDecoder(InstanceListFromJson), kEncode);
 }
 
-TEST(HostileInputTest, RunnerReplies) { CheckMutatedJson({kReply, "{}"}, DecodeUpstreamReply, EncodeUpstreamReply); }
+TEST(MalformedInputTest, RunnerRepliesDecodeOrFailWithAPath) {
+  CheckMutatedJson({kReply, "{}"}, DecodeUpstreamReply, EncodeUpstreamReply);
+}
 
-TEST(HostileInputTest, TableReplies) {
+TEST(MalformedInputTest, TableRepliesDecodeOrFailWithAPath) {
   CheckMutatedJson({EncodeCommitReply({CommitStatus::kConflict, 4})}, DecodeCommitReply, EncodeCommitReply);
   CheckMutatedJson({EncodeReadReply({true, {{"key", "value", 3}}})}, DecodeReadReply, EncodeReadReply);
   CheckMutatedJson({EncodeLookupReply({LookupStatus::kCommitted, 4})}, DecodeLookupReply, EncodeLookupReply);
 }
 
 // Guards against an epoch that overflows when the next owner raises it.
-TEST(HostileInputTest, EpochsThatCannotBeRaisedAreRefused) {
+TEST(MalformedInputTest, EpochsThatWouldOverflowAreRejected) {
   const Result<UpstreamReply> reply = DecodeUpstreamReply(R"({"epoch":9223372036854775807})");
   ASSERT_FALSE(reply);
   EXPECT_EQ(reply.error().path, "/epoch");
@@ -81,8 +85,8 @@
 }
 
 // Guards against a version that overflows with the next confirmed change.
-TEST(HostileInputTest, ConfigurationVersionsThatCannotBeRaisedAreRefused) {
-  EXPECT_EQ(TextDecoder(ClusterConfigFromJson)(R"({"version":9223372036854775807})").error().path, "/version");
+TEST(MalformedInputTest, ConfigurationVersionsThatWouldOverflowAreRejected) {
+  EXPECT_EQ(JsonTextDecoder(ClusterConfigFromJson)(R"({"version":9223372036854775807})").error().path, "/version");
 }
 
 }  // namespace
--- a/src/model/table_codec.cc
+++ b/src/model/table_codec.cc
@@ -21,7 +21,7 @@
 constexpr std::size_t kMaxKeyBytes = 1024;
 constexpr std::size_t kMaxValueBytes = 16U << 20U;
 
-std::vector<std::string> ReadTexts(FieldReader& reader, const char* name) {
+std::vector<std::string> ReadStrings(FieldReader& reader, const char* name) {
   std::vector<std::string> texts;
   const json::array* array = reader.Array(name);
   if (array == nullptr) return texts;
@@ -36,7 +36,7 @@
   return texts;
 }
 
-json::array TextsToJson(const std::vector<std::string>& texts) {
+json::array StringsToJson(const std::vector<std::string>& texts) {
   json::array array;
   for (const std::string& text : texts) array.emplace_back(text);
   return array;
@@ -84,7 +84,7 @@
     return {"POST", "/v1/txn", json::serialize(body)};
   }
   HttpCall operator()(const ReadRequest& request) const {
-    const json::object body = {{"keys", TextsToJson(request.keys)}, {"prefixes", TextsToJson(request.prefixes)}};
+    const json::object body = {{"keys", StringsToJson(request.keys)}, {"prefixes", StringsToJson(request.prefixes)}};
     return {"POST", "/v1/read", json::serialize(body)};
   }
   HttpCall operator()(const LookupRequest& request) const {
@@ -100,10 +100,10 @@
   return FinishReading<TableRequest>(reader, std::move(transaction));
 }
 
-Result<TableRequest> ReadRead(FieldReader& reader) {
+Result<TableRequest> ReadReadRequest(FieldReader& reader) {
   ReadRequest request;
-  request.keys = ReadTexts(reader, "keys");
-  request.prefixes = ReadTexts(reader, "prefixes");
+  request.keys = ReadStrings(reader, "keys");
+  request.prefixes = ReadStrings(reader, "prefixes");
   return FinishReading<TableRequest>(reader, std::move(request));
 }
 
@@ -123,7 +123,7 @@
   const Result<json::object> body = ParseObject(call.body, "");
   if (!body) return body.error();
   FieldReader reader(*body, "");
-  return commit ? ReadTransaction(reader) : ReadRead(reader);
+  return commit ? ReadTransaction(reader) : ReadReadRequest(reader);
 }
 
 std::string EncodeCommitReply(const CommitReply& reply) {
--- a/src/model/wire_codec_test.cc
+++ b/src/model/wire_codec_test.cc
@@ -22,23 +22,23 @@
 }
 
 /// Text with characters that need escapes in JSON and in paths.
-std::string Text() { return *rc::gen::container<std::string>(rc::gen::inRange<char>(1, 127)); }
+std::string RandomText() { return *rc::gen::container<std::string>(rc::gen::inRange<char>(1, 127)); }
 
-std::string Name() {
-  std::string name = Text();
+std::string RandomName() {
+  std::string name = RandomText();
   name.resize(name.size() % 32);
   return "n" + name;
 }
 
-std::int64_t Number() { return *rc::gen::inRange<std::int64_t>(0, 1'000'000); }
+std::int64_t RandomNumber() { return *rc::gen::inRange<std::int64_t>(0, 1'000'000); }
 
 template <typename E>
-E AnyOf() {
+E RandomEnum() {
   return static_cast<E>(*rc::gen::inRange<std::size_t>(0, EnumNames<E>::kNames.size()));
 }
 
 template <typename T, typename Make>
-std::vector<T> Some(const Make& make) {
+std::vector<T> RandomVector(const Make& make) {
   std::vector<T> items;
   const auto count = *rc::gen::inRange<std::size_t>(0, 4);
   items.reserve(count);
@@ -46,112 +46,114 @@
   return items;
 }
 
-FencingToken Token() { return {EntryId(Name()), Number()}; }
-AttemptId Attempt() { return {TaskId(Name()), Number()}; }
-Resources Demand() { return {Number(), Number(), *rc::gen::inRange(0, 8), *rc::gen::inRange(1, 8)}; }
+FencingToken RandomToken() { return {EntryId(RandomName()), RandomNumber()}; }
+AttemptId RandomAttempt() { return {TaskId(RandomName()), RandomNumber()}; }
+Resources RandomDemand() { return {RandomNumber(), RandomNumber(), *rc::gen::inRange(0, 8), *rc::gen::inRange(1, 8)}; }
 
-TaskSpec Spec() {
+TaskSpec RandomSpec() {
   TaskSpec spec;
-  spec.id = TaskId(Name());
-  spec.team = TeamId(Name());
-  spec.kind = Name();
-  spec.work_class = AnyOf<WorkClass>();
-  spec.semantics = AnyOf<Semantics>();
-  spec.demand = Demand();
-  spec.declared_run_ms = Number();
-  spec.body = Text();
+  spec.id = TaskId(RandomName());
+  spec.team = TeamId(RandomName());
+  spec.kind = RandomName();
+  spec.work_class = RandomEnum<WorkClass>();
+  spec.semantics = RandomEnum<Semantics>();
+  spec.demand = RandomDemand();
+  spec.declared_run_ms = RandomNumber();
+  spec.body = RandomText();
   return spec;
 }
 
-UpstreamRequest AnyUpstreamRequest() {
+UpstreamRequest RandomUpstreamRequest() {
   switch (*rc::gen::inRange(0, 5)) {
     case 0:
-      return FenceRequest{Token()};
+      return FenceRequest{RandomToken()};
     case 1:
-      return RunTaskRequest{Token(), Spec(), Number(), EntryId(Name()), Number()};
+      return RunTaskRequest{RandomToken(), RandomSpec(), RandomNumber(), EntryId(RandomName()), RandomNumber()};
     case 2:
-      return StartTaskRequest{Token(), Spec(), Number(), EntryId(Name()), Text(), Number()};
+      return StartTaskRequest{RandomToken(),         RandomSpec(), RandomNumber(),
+                              EntryId(RandomName()), RandomText(), RandomNumber()};
     case 3:
-      return RenewRequest{Token(), Number(), Some<AttemptId>(Attempt), Some<AttemptId>(Attempt)};
+      return RenewRequest{RandomToken(), RandomNumber(), RandomVector<AttemptId>(RandomAttempt),
+                          RandomVector<AttemptId>(RandomAttempt)};
     default:
-      return StopTaskRequest{Token(), Attempt(), AnyOf<StopMode>()};
+      return StopTaskRequest{RandomToken(), RandomAttempt(), RandomEnum<StopMode>()};
   }
 }
 
-RunnerTask AnyRunnerTask() {
-  return {Attempt(),          EntryId(Name()),          TeamId(Name()), Name(),
-          AnyOf<WorkClass>(), AnyOf<Semantics>(),       Demand(),       Demand(),
-          Number(),           AnyOf<RunnerTaskState>(), Text()};
+RunnerTask RandomRunnerTask() {
+  return {RandomAttempt(),         EntryId(RandomName()),         TeamId(RandomName()), RandomName(),
+          RandomEnum<WorkClass>(), RandomEnum<Semantics>(),       RandomDemand(),       RandomDemand(),
+          RandomNumber(),          RandomEnum<RunnerTaskState>(), RandomText()};
 }
 
-TableRequest AnyTableRequest() {
-  const auto condition = [] { return Condition{Name(), Number()}; };
+TableRequest RandomTableRequest() {
+  const auto condition = [] { return Condition{RandomName(), RandomNumber()}; };
   const auto write = [] {
-    Write write{Name(), std::nullopt};
-    if (*rc::gen::arbitrary<bool>()) write.value = Text();
+    Write write{RandomName(), std::nullopt};
+    if (*rc::gen::arbitrary<bool>()) write.value = RandomText();
     return write;
   };
   switch (*rc::gen::inRange(0, 3)) {
     case 0:
-      return Transaction{TransactionId(Name()), Some<Condition>(condition), Some<Write>(write)};
+      return Transaction{TransactionId(RandomName()), RandomVector<Condition>(condition), RandomVector<Write>(write)};
     case 1:
-      return ReadRequest{Some<std::string>(Name), Some<std::string>(Name)};
+      return ReadRequest{RandomVector<std::string>(RandomName), RandomVector<std::string>(RandomName)};
     default:
-      return LookupRequest{TransactionId(Name())};
+      return LookupRequest{TransactionId(RandomName())};
   }
 }
 
 // Guards against a field that is left out, swapped or not escaped. Fields have no comparison of their own in the
 // protocol, so the second encoding is compared with the first, and the values of one message with the original.
-TEST(WireCodecTest, UpstreamRequestsSurviveARoundTrip) {
+TEST(WireCodecTest, UpstreamRequestsRoundTripUnchanged) {
   CheckWithFixedSeed([] {
-    const UpstreamRequest request = AnyUpstreamRequest();
+    const UpstreamRequest request = RandomUpstreamRequest();
     const HttpCall call = EncodeUpstreamRequest(request);
-    const Result<UpstreamRequest> again = DecodeUpstreamRequest(call);
-    RC_ASSERT(again.has_value());
-    RC_ASSERT(again->index() == request.index());
-    RC_ASSERT(EncodeUpstreamRequest(*again) == call);
+    const Result<UpstreamRequest> decoded = DecodeUpstreamRequest(call);
+    RC_ASSERT(decoded.has_value());
+    RC_ASSERT(decoded->index() == request.index());
+    RC_ASSERT(EncodeUpstreamRequest(*decoded) == call);
   });
 }
 
-TEST(WireCodecTest, UpstreamRepliesSurviveARoundTrip) {
+TEST(WireCodecTest, UpstreamRepliesRoundTripUnchanged) {
   CheckWithFixedSeed([] {
-    const UpstreamReply reply{AnyOf<CallStatus>(),
-                              Text(),
-                              Token(),
-                              Number(),
-                              Number(),
-                              AnyOf<RunnerTaskState>(),
-                              Text(),
-                              Some<RunnerTask>(AnyRunnerTask)};
+    const UpstreamReply reply{RandomEnum<CallStatus>(),
+                              RandomText(),
+                              RandomToken(),
+                              RandomNumber(),
+                              RandomNumber(),
+                              RandomEnum<RunnerTaskState>(),
+                              RandomText(),
+                              RandomVector<RunnerTask>(RandomRunnerTask)};
     const std::string body = EncodeUpstreamReply(reply);
-    const Result<UpstreamReply> again = DecodeUpstreamReply(body);
-    RC_ASSERT(again.has_value());
-    RC_ASSERT(again->output == reply.output);
-    RC_ASSERT(again->current == reply.current);
-    RC_ASSERT(again->previous_epoch == reply.previous_epoch);
-    RC_ASSERT(again->tasks.size() == reply.tasks.size());
-    RC_ASSERT(EncodeUpstreamReply(*again) == body);
+    const Result<UpstreamReply> decoded = DecodeUpstreamReply(body);
+    RC_ASSERT(decoded.has_value());
+    RC_ASSERT(decoded->output == reply.output);
+    RC_ASSERT(decoded->current == reply.current);
+    RC_ASSERT(decoded->previous_epoch == reply.previous_epoch);
+    RC_ASSERT(decoded->tasks.size() == reply.tasks.size());
+    RC_ASSERT(EncodeUpstreamReply(*decoded) == body);
   });
 }
 
-TEST(WireCodecTest, TableRequestsSurviveARoundTrip) {
+TEST(WireCodecTest, TableRequestsRoundTripUnchanged) {
   CheckWithFixedSeed([] {
-    const TableRequest request = AnyTableRequest();
+    const TableRequest request = RandomTableRequest();
     const HttpCall call = EncodeTableRequest(request);
-    const Result<TableRequest> again = DecodeTableRequest(call);
-    RC_ASSERT(again.has_value());
-    RC_ASSERT(again->index() == request.index());
-    RC_ASSERT(EncodeTableRequest(*again) == call);
+    const Result<TableRequest> decoded = DecodeTableRequest(call);
+    RC_ASSERT(decoded.has_value());
+    RC_ASSERT(decoded->index() == request.index());
+    RC_ASSERT(EncodeTableRequest(*decoded) == call);
   });
 }
 
-TEST(WireCodecTest, TableRepliesSurviveARoundTrip) {
+TEST(WireCodecTest, TableRepliesRoundTripUnchanged) {
   CheckWithFixedSeed([] {
-    const auto row = [] { return Row{Name(), Text(), Number()}; };
-    const ReadReply read{*rc::gen::arbitrary<bool>(), Some<Row>(row)};
-    const CommitReply commit{AnyOf<CommitStatus>(), Number()};
-    const LookupReply lookup{AnyOf<LookupStatus>(), Number()};
+    const auto row = [] { return Row{RandomName(), RandomText(), RandomNumber()}; };
+    const ReadReply read{*rc::gen::arbitrary<bool>(), RandomVector<Row>(row)};
+    const CommitReply commit{RandomEnum<CommitStatus>(), RandomNumber()};
+    const LookupReply lookup{RandomEnum<LookupStatus>(), RandomNumber()};
     RC_ASSERT(EncodeReadReply(*DecodeReadReply(EncodeReadReply(read))) == EncodeReadReply(read));
     RC_ASSERT(EncodeCommitReply(*DecodeCommitReply(EncodeCommitReply(commit))) == EncodeCommitReply(commit));
     RC_ASSERT(EncodeLookupReply(*DecodeLookupReply(EncodeLookupReply(lookup))) == EncodeLookupReply(lookup));
@@ -159,7 +161,7 @@
 }
 
 // Guards against an encoding that is consistent with itself but misses the published names.
-TEST(WireCodecTest, MessagesHaveThePublishedForm) {
+TEST(WireCodecTest, MessagesMatchThePublishedFormat) {
   const StopTaskRequest stop{{EntryId("e1"), 3}, {TaskId("a/b"), 2}, StopMode::kCheckpoint};
   EXPECT_EQ(EncodeUpstreamRequest(stop),
             (HttpCall{"POST", "/v1/tasks/a%2Fb/checkpoint", R"({"attempt":2,"owner":"e1","epoch":3})"}));
@@ -169,7 +171,7 @@
   EXPECT_EQ(EncodeTableRequest(LookupRequest{TransactionId("x y")}), (HttpCall{"GET", "/v1/txn/x%20y", ""}));
 }
 
-TEST(WireCodecTest, BadInputIsRefusedWithItsPath) {
+TEST(WireCodecTest, InvalidInputIsRejectedWithItsPath) {
   const auto runner = [](const char* target, const char* body) {
     return DecodeUpstreamRequest(HttpCall{"POST", target, body}).error();
   };
