--- a/src/base/enum_names.h
+++ b/src/base/enum_names.h
@@ -7,17 +7,17 @@
 
 namespace jaymast {
 
-/// Table of the names of an enum, in declaration order. Specialised next to each enum with a member kNames.
+/// Maps the enumerators of an enum to names. Each enum has a specialisation, whose kNames is in declaration order.
 template <typename E>
 struct EnumNames;
 
-/// Name of an enumerator as it appears in messages and files.
+/// Returns the name of an enumerator, as used in messages and files.
 template <typename E>
 constexpr std::string_view ToString(E value) {
   return EnumNames<E>::kNames.at(static_cast<std::size_t>(value));
 }
 
-/// Enumerator with the given name, or nothing when the name is unknown.
+/// Returns the enumerator with the given name, or nothing when the name is unknown.
 template <typename E>
 constexpr std::optional<E> FromString(std::string_view name) {
   const auto& names = EnumNames<E>::kNames;
--- a/src/base/error.h
+++ b/src/base/error.h
@@ -8,7 +8,7 @@
 
 namespace jaymast {
 
-/// Stable ids of errors. Names appear in answers, logs and docs/operations.md and do not change between versions.
+/// Ids of errors. Their names appear in responses, logs and docs/operations.md, and do not change between versions.
 enum class ErrorId {
   kNone,
   kInputSyntax,
@@ -74,7 +74,7 @@
   };
 };
 
-/// An error with a stable id, the path of the offending field or object, and a reason for people.
+/// An error with a stable id, the path of the offending field or object, and a human-readable reason.
 struct Error {
   ErrorId id = ErrorId::kNone;
   std::string path;
--- a/src/base/field_reader.h
+++ b/src/base/field_reader.h
@@ -12,9 +12,10 @@
 
 namespace jaymast {
 
-/// Reads typed fields of a JSON object and keeps the first error with the path of the offending field.
+/// Reads typed fields of a JSON object and records the first error with the path of the offending field.
 ///
-/// A missing field yields the default. A field of the wrong type or outside its range is an error.
+/// A missing field yields the fallback. A field of the wrong type or outside its range is an error. Lengths are in
+/// bytes.
 class FieldReader {
  public:
   /// @param object the object to read; must outlive the reader
@@ -36,10 +37,10 @@
     return value.value_or(fallback);
   }
 
-  /// Records an error for each field that was not read.
+  /// Records an error if the object has a field that was not read.
   void RejectUnknown();
 
-  /// Records an error unless there is one already.
+  /// Records an error, unless one is recorded already.
   void Fail(std::string_view name, std::string reason);
 
   const std::optional<Error>& error() const { return m_error; }
--- a/src/base/hash.cc
+++ b/src/base/hash.cc
@@ -29,7 +29,7 @@
 
 double RendezvousScore(std::string_view key, std::string_view node, double weight) {
   const std::uint64_t hash = XXH3_64bits_withSeed(node.data(), node.size(), StableHash(key));
-  // Maps the top 53 bits to the open interval (0, 1), for which the logarithm is finite and negative.
+  // Maps the top 53 bits to the open interval (0, 1), where the logarithm is finite and negative.
   constexpr double kScale = 1.0 / 9007199254740992.0;
   const double uniform = (static_cast<double>(hash >> 11U) + 0.5) * kScale;
   return -weight / std::log(uniform);
--- a/src/base/hash_test.cc
+++ b/src/base/hash_test.cc
@@ -18,7 +18,7 @@
   EXPECT_FALSE(ConstantTimeEqual("same", "same-longer"));
 }
 
-// Guards against a score that ignores the weight or prefers one node for all keys.
+// Guards against a score that ignores the weight or favours one node for all keys.
 TEST(HashTest, RendezvousSpreadsKeysByWeight) {
   std::map<std::string, int> wins;
   for (int i = 0; i < 3000; ++i) {
--- a/src/base/http_status.h
+++ b/src/base/http_status.h
@@ -2,7 +2,7 @@
 
 namespace jaymast {
 
-// HTTP status codes that entries, runners and the platform answer with.
+// HTTP status codes in responses of entries, runners and the platform.
 inline constexpr int kStatusOk = 200;
 inline constexpr int kStatusAccepted = 202;
 inline constexpr int kStatusNoContent = 204;
--- a/src/base/id.h
+++ b/src/base/id.h
@@ -9,7 +9,7 @@
 
 namespace jaymast {
 
-/// A name that cannot be mixed up with a name of another kind.
+/// A string id whose type keeps ids of different kinds apart.
 template <typename Tag>
 class Id {
  public:
@@ -29,7 +29,7 @@
   std::string m_value;
 };
 
-/// One incarnation of an entry process: failure domain, name from its settings, and a random suffix for each start,
+/// Identifies one incarnation of an entry: failure domain, name from the settings, and a random suffix for each start,
 /// joined by dots.
 using EntryId = Id<struct EntryTag>;
 using UpstreamId = Id<struct UpstreamTag>;
@@ -41,7 +41,7 @@
 using PlanId = Id<struct PlanTag>;
 using TransactionId = Id<struct TransactionTag>;
 
-/// Failure domain of an entry, which is the part of its id before the first dot.
+/// Returns the failure domain of an entry, the part of its id before the first dot.
 inline DomainId DomainOf(const EntryId& entry) { return DomainId(entry.value().substr(0, entry.value().find('.'))); }
 
 }  // namespace jaymast
--- a/src/base/json.cc
+++ b/src/base/json.cc
@@ -1,2 +1,2 @@
-// The single translation unit that compiles Boost.JSON.
+// Compiles Boost.JSON, in this translation unit only.
 #include <boost/json/src.hpp>
--- a/src/base/json_object.cc
+++ b/src/base/json_object.cc
@@ -10,7 +10,7 @@
 
 namespace json = boost::json;
 
-/// Nested further than any message of the project; bounds the stack that a hostile text takes.
+/// Exceeds the nesting of all messages of the project, and bounds the stack used for malicious input.
 constexpr std::size_t kMaxJsonDepth = 32;
 
 }  // namespace
--- a/src/base/resources.h
+++ b/src/base/resources.h
@@ -4,7 +4,7 @@
 
 namespace jaymast {
 
-/// Amounts of each kind of capacity of a worker, or of the demand of a task.
+/// Amounts of each resource: the capacity of an upstream, or the demand of a task.
 struct Resources {
   std::int64_t cpu_millis = 0;  ///< thousandths of a processor core
   std::int64_t memory_mb = 0;   ///< mebibytes
@@ -29,7 +29,7 @@
   friend Resources operator-(Resources a, const Resources& b) { return a -= b; }
   friend bool operator==(const Resources&, const Resources&) = default;
 
-  /// Whether this demand fits into the given free capacity.
+  /// Whether this demand fits into the given free capacity, for every resource.
   bool FitsIn(const Resources& free) const {
     return cpu_millis <= free.cpu_millis && memory_mb <= free.memory_mb && accelerators <= free.accelerators &&
            slots <= free.slots;
--- a/src/base/result.h
+++ b/src/base/result.h
@@ -7,7 +7,7 @@
 
 namespace jaymast {
 
-/// An optional value with the reason why it is absent.
+/// A value, or the error that explains its absence.
 template <typename T>
 class Result {
  public:
--- a/src/base/time.h
+++ b/src/base/time.h
@@ -6,7 +6,7 @@
 
 namespace jaymast {
 
-/// Clock tag of the decision core. Time is passed in, so the clock has no now().
+/// Clock type of the decision core. It has no now(): the current time is passed in.
 struct CoreClock {
   using rep = std::int64_t;
   using period = std::micro;
@@ -15,19 +15,19 @@
   static constexpr bool is_steady = true;  // NOLINT(readability-identifier-naming): required of a clock
 };
 
-/// A span of time in microseconds. State holds deadlines (Time); a Duration appears only in settings and messages.
+/// A time span in microseconds. For settings and messages only; state stores deadlines as Time.
 using Duration = std::chrono::microseconds;
 
 /// A point in time on the monotonic clock of one process.
 using Time = CoreClock::time_point;
 
-/// Builds a Time from microseconds since the start of the clock.
+/// Converts microseconds since the epoch of the clock to a Time.
 constexpr Time TimeFromMicros(std::int64_t micros) { return Time(Duration(micros)); }
 
-/// Microseconds since the start of the clock.
+/// Returns the microseconds since the epoch of the clock.
 constexpr std::int64_t ToMicros(Time time) { return time.time_since_epoch().count(); }
 
-/// Whole milliseconds in a span of time.
+/// Returns the whole milliseconds of a duration, truncated.
 constexpr std::int64_t ToMillis(Duration duration) {
   return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
 }
--- a/src/base/url.cc
+++ b/src/base/url.cc
@@ -1,2 +1,2 @@
-// The single translation unit that compiles Boost.URL.
+// Compiles Boost.URL, in this translation unit only.
 #include <boost/url/src.hpp>
--- a/src/base/verdict.h
+++ b/src/base/verdict.h
@@ -7,7 +7,7 @@
 
 namespace jaymast {
 
-/// Says whether a request may have taken effect at an upstream.
+/// Whether a request took effect at an upstream.
 enum class Verdict { kNotRun, kMayHaveRun, kRan };
 
 template <>
@@ -18,8 +18,8 @@
 /// Execution semantics of a task.
 enum class Semantics {
   kIdempotent,  ///< may run more than once
-  kAtMostOnce,  ///< orders and approvals
-  kExclusive,   ///< may run again, never in two places at once
+  kAtMostOnce,  ///< never retried once it may have run, such as orders and approvals
+  kExclusive,   ///< may run again, but never concurrently
 };
 
 template <>
@@ -27,7 +27,7 @@
   static constexpr std::array<std::string_view, 3> kNames = {"idempotent", "at_most_once", "exclusive"};
 };
 
-/// Whether work that ended with a verdict may be started again by itself.
+/// Whether work that ended with the verdict may be retried automatically.
 constexpr bool MayRetry(Verdict verdict, Semantics semantics) {
   if (verdict == Verdict::kNotRun) return true;
   return verdict == Verdict::kMayHaveRun && semantics == Semantics::kIdempotent;
--- a/src/core/context.h
+++ b/src/core/context.h
@@ -7,7 +7,7 @@
 
 namespace jaymast {
 
-/// What every slice of one entry shares. The referenced objects outlive the slices.
+/// Holds what all components of one entry share. The referenced objects outlive the components.
 struct Context {
   const EntrySettings& settings;
   Effects& effects;
@@ -19,7 +19,7 @@
   /// Runs the callback once, `delay` from now.
   void After(Duration delay, Timers::Callback callback) { timers.At(Now() + delay, std::move(callback)); }
 
-  /// A span of time between half of `delay` and one and a half times it, so that retries of many entries spread.
+  /// Returns a random duration from 0.5 to 1.5 times `delay`, so that entries do not retry at the same time.
   Duration Jittered(Duration delay) {
     constexpr std::int64_t kSteps = 1024;
     const auto step = static_cast<std::int64_t>(effects.Random() % kSteps);
--- a/src/core/effects.h
+++ b/src/core/effects.h
@@ -13,7 +13,9 @@
 
 namespace jaymast {
 
-/// Everything the decision core may do to the outside. Callbacks run on the control thread, later than the call.
+/// Abstracts the clock, the random source and all I/O of the decision core.
+///
+/// Callbacks run on the control thread, never inside the call that takes them.
 class Effects {
  public:
   using CommitCallback = std::function<void(const CommitReply&)>;
@@ -30,12 +32,12 @@
   virtual void Read(const ReadRequest& request, ReadCallback done) = 0;
   virtual void Lookup(const TransactionId& id, LookupCallback done) = 0;
 
-  /// Tells the outside where a peer listens. Called before the first SendPeer to it.
+  /// Sets the address (IP number and port) of a peer. Called before the first SendPeer() to it.
   virtual void ConnectPeer(const EntryId& peer, const std::string& address) = 0;
   virtual void DisconnectPeer(const EntryId& peer) = 0;
   virtual void SendPeer(const EntryId& peer, const PeerMessage& message) = 0;
 
-  /// Sends one request to the runner at `address`. `deadline` is when the outside must answer at the latest.
+  /// Sends one request to the runner at `address`. `done` is called by `deadline` at the latest.
   virtual void CallUpstream(const UpstreamId& upstream, const std::string& address, const UpstreamRequest& request,
                             Time deadline, UpstreamCallback done) = 0;
 
--- a/src/core/entry_core.h
+++ b/src/core/entry_core.h
@@ -16,9 +16,9 @@
 class Effects;
 class EntryNode;
 
-/// Decision core of one entry: a pure state machine driven by messages and time.
+/// Runs the decision core of one entry: a deterministic state machine driven by messages and time.
 ///
-/// All calls come from the control thread. When the entry loses its lease it starts over with a new id.
+/// All calls come from the control thread. An entry that loses its lease restarts under a new id.
 class EntryCore {
  public:
   EntryCore(EntrySettings settings, Effects& effects);
@@ -26,24 +26,24 @@
   EntryCore(const EntryCore&) = delete;
   EntryCore& operator=(const EntryCore&) = delete;
 
-  /// Begins to join the cluster.
+  /// Starts joining the cluster.
   void Start();
 
   void OnRequest(RequestId id, const Request& request);
 
-  /// The caller closed its connection; its request needs no answer.
+  /// The caller closed its connection; its request needs no response.
   void OnRequestGone(RequestId id);
 
   void OnPeer(const EntryId& from, const PeerMessage& message);
   void OnInstances(const InstanceList& list);
 
-  /// Runs due timers. Call it at NextDeadline(), or more often.
+  /// Runs due timers. Call it at NextDeadline() or earlier.
   void OnTick();
 
-  /// Begins a graceful shutdown. IsStopped() tells when it is complete.
+  /// Starts a graceful shutdown, which is complete when IsStopped() returns true.
   void OnStopRequested();
 
-  /// Earliest time at which OnTick() has something to do.
+  /// Earliest time at which OnTick() is due, or nothing when no timer is set.
   std::optional<Time> NextDeadline() const;
 
   const EntryId& id() const;
@@ -51,7 +51,7 @@
   bool IsStopped() const;
 
  private:
-  /// Starts over under a new id. Not done inside a callback of the node that is replaced.
+  /// Replaces the node by one with a new id. Must not run inside a callback of the node that is replaced.
   void RestartIfDue();
 
   EntrySettings m_settings;
--- a/src/core/entry_node.cc
+++ b/src/core/entry_node.cc
@@ -13,30 +13,31 @@
 namespace jaymast {
 namespace {
 
-/// Interval of reading the records of all failure domains. The own one is read with each renewal. Reads happen on the
-/// renewal timer, so the actual interval is up to one renewal interval longer. It must stay below the 5.5 s after which
-/// an entry of another domain tries to expire an unchanged record, or every live record is tried.
+/// Interval between reads of the entry records of all failure domains. The records of the own domain are read with each
+/// renewal. Reads run on the renewal timer, so the actual interval is up to one renewal interval longer. It must stay
+/// below the 5.5 s after which an entry of another domain tries to expire an unchanged record; otherwise every live
+/// record would be tried.
 constexpr Duration kFullReadInterval = std::chrono::seconds(4);
 
-/// The same while there are few entries.
+/// As kFullReadInterval, for clusters of at most kMaxPeersForFullBroadcast peers.
 constexpr Duration kSmallClusterFullReadInterval = std::chrono::seconds(1);
 
-/// Time between finding that a holder of allotments is gone and reclaiming them. An owner that was fenced by the holder
-/// during an outage has noticed by then and fenced it in turn.
+/// Delay from finding that a holder of allotments has left until its allotments are reclaimed. An owner that the holder
+/// fenced during an outage has noticed by then and has fenced the holder in turn.
 constexpr Duration kReclaimDelay = std::chrono::seconds(5);
 
-/// Owner rows of a failure domain read per renewal interval, so that the read traffic does not grow with the domain.
+/// Owner rows of a failure domain read per renewal interval, which bounds the read traffic of large domains.
 constexpr std::int64_t kOwnerRowsPerInterval = 64;
 
-/// An entry serves after this time even if some of its upstreams do not answer.
+/// Time after which a recovering entry serves even if some of its upstreams have not replied.
 constexpr Duration kRecoverTimeout = std::chrono::seconds(3);
 
 constexpr Duration kAdvanceInterval = std::chrono::milliseconds(100);
 
-/// Other failure domains that get a heartbeat each interval, drawn at random.
+/// Peers in other failure domains, drawn at random, that get a heartbeat each interval.
 constexpr std::size_t kRemoteSummaryCount = 4;
 
-/// Up to this many peers, all get a heartbeat.
+/// Up to this number of peers, every peer gets every heartbeat.
 constexpr std::size_t kMaxPeersForFullBroadcast = 16;
 
 std::vector<Row> RowsWithPrefix(const std::vector<Row>& rows, std::string_view prefix) {
@@ -128,7 +129,7 @@
   event.domain = m_context.settings.domain;
   event.detail = std::string(ToString(state));
   m_effects.Emit(event);
-  // Others choose owners by the state in the record.
+  // Peers choose owners by the state in this record.
   if (m_started && state != EntryState::kStopped && state != EntryState::kIsolated) m_membership.Renew();
 }
 
@@ -203,7 +204,7 @@
 }
 
 void EntryNode::ReclaimAllotments(const std::set<EntryId>& absent_before_read) {
-  // A holder had a lease record when it wrote the row. If a later read finds none, the entry is gone for good.
+  // A holder had a lease record when it wrote the row. If a later read finds none, its id never comes back.
   const Time now = m_context.Now();
   const std::set<EntryId> absent_now = m_allotments.HoldersWithoutLease();
   std::erase_if(m_reclaim_at, [&absent_now](const auto& item) { return !absent_now.contains(item.first); });
@@ -261,7 +262,7 @@
 }
 
 void EntryNode::AdvanceDrain() {
-  // Callers that wait for outcomes are served as long as the settings allow, then get the state of their tasks.
+  // Callers that wait for outcomes may wait until the drain deadline; then they get the current state of their tasks.
   if (m_tasks.HasWaiters() && m_context.Now() < m_drain_deadline) return;
   m_tasks.Drain();
   const bool is_idle = m_previews.open() == 0 && m_executor.OpenRuns() == 0 && m_tasks.IsQuiet() &&
@@ -300,7 +301,7 @@
                                peer->second.summary.handovers != summary.handovers;
   m_membership.OnSummary(from, summary);
   m_router.OnSummary(from);
-  // A heartbeat of an entry that joined since the last read.
+  // The sender joined after the last read.
   if (peer == m_membership.peers().end()) m_next_full_read = Time();
   if (!has_handed_over) return;
   m_next_owner_read = Time();
@@ -314,7 +315,7 @@
 
 void EntryNode::Send(const EntryId& to, const PeerMessage& message) {
   if (to != m_context.self) return m_effects.SendPeer(to, message);
-  // Messages to this entry take the same path as those of peers, one step later.
+  // Messages to this entry itself are handled like those of peers, from a timer.
   m_timers.At(m_context.Now(), [this, message] { OnPeer(m_context.self, message); });
 }
 
@@ -350,7 +351,7 @@
   response.status = kStatusUnavailable;
   response.verdict = Verdict::kMayHaveRun;
   response.error =
-      Error{ErrorId::kNotServing, "", "this entry lost its lease; ask again with the task id or the same key"};
+      Error{ErrorId::kNotServing, "", "this entry lost its lease; retry with the task id or the same idempotency key"};
   const std::set<RequestId> open = m_effects.open();
   for (const RequestId id : open) m_effects.Reply(id, response);
 }
@@ -362,7 +363,7 @@
 
 bool EntryNode::IsReady() const { return IsServing() && m_config.IsLoaded(); }
 
-/// Handles a message of a peer, or of this entry to itself.
+/// Dispatches a message of a peer, or of this entry to itself.
 struct PeerVisitor {
   EntryNode& node;
   const EntryId& from;
--- a/src/core/entry_node.h
+++ b/src/core/entry_node.h
@@ -26,10 +26,10 @@
 
 namespace jaymast {
 
-/// All slices of one entry from joining to leaving, under one entry id.
+/// Owns and connects all components of one incarnation of an entry, from joining to leaving.
 class EntryNode {
  public:
-  /// @param on_lease_lost called when this id must not be used any more
+  /// @param on_lease_lost called when the lease of this id is lost and the id must not be used any more
   EntryNode(const EntrySettings& settings, Effects& effects, std::function<void()> on_lease_lost);
 
   void Start();
@@ -40,7 +40,7 @@
   void OnTick();
   void OnStopRequested();
 
-  /// Answers all open requests before this node is destroyed.
+  /// Responds to all open requests with an error, before this node is destroyed.
   void AbandonAll();
 
   std::optional<Time> NextDeadline() const { return m_timers.NextDeadline(); }
@@ -77,8 +77,8 @@
   void OnStateChange(EntryState state);
   void AdvanceLifecycle();
 
-  /// Whether a preview could be placed: this entry owns a usable upstream, or a serving peer is heard. An entry that
-  /// reports itself ready before that would refuse previews although others have room.
+  /// Whether this entry owns a usable upstream or receives heartbeats of a serving peer. An entry that reports itself
+  /// ready before that would reject previews although peers have free capacity.
   bool CanPlacePreviews() const;
   void AdvanceDrain();
   void ReclaimAllotments(const std::set<EntryId>& absent_before_read);
@@ -103,7 +103,7 @@
   void Serve(RequestId id, const ViewRequest& request);
   bool IsServing() const;
 
-  bool m_started = false;  // Before the slices, which report their first state while they are constructed.
+  bool m_started = false;  // Declared first: components report their first state while they are constructed.
   GuardedEffects m_effects;
   Timers m_timers;
   Context m_context;
@@ -118,7 +118,7 @@
   TaskManager m_tasks;
   PlanService m_plan_service;
   InstanceList m_instances;
-  std::map<EntryId, Time> m_reclaim_at;  ///< holders of allotments without a lease record, and when to reclaim them
+  std::map<EntryId, Time> m_reclaim_at;  ///< when to reclaim the allotments of holders without a lease record
   Time m_next_full_read;
   Time m_next_owner_read;
   Time m_recover_deadline;
--- a/src/core/entry_requests.cc
+++ b/src/core/entry_requests.cc
@@ -1,4 +1,4 @@
-// Requests of callers and operators: authentication, admission and dispatch to the slices.
+// Requests of callers and operators: authentication, admission and dispatch to the components.
 #include <fmt/format.h>
 
 #include <chrono>
@@ -11,7 +11,7 @@
 namespace jaymast {
 namespace {
 
-/// A plan or confirmation whose write stays unresolved is answered after this time.
+/// Response deadline of a plan or confirmation whose write stays unresolved.
 constexpr Duration kOperatorTimeout = std::chrono::seconds(10);
 
 int StatusOf(ErrorId id) {
@@ -41,7 +41,7 @@
 void EntryNode::OnRequest(RequestId id, const Request& request) {
   m_effects.Open(id);
   if (!m_config.IsLoaded() || IsStopped()) {
-    // Without a configuration the key cannot be checked, so the event names no team.
+    // The key cannot be checked without a configuration, so the event has no team.
     Event event;
     event.kind = EventKind::kRequestReceived;
     event.request = id;
@@ -104,7 +104,7 @@
   }
   if (const std::optional<Error> error = AdmitSpec(*principal, spec)) return Reject(id, StatusOf(error->id), *error);
   if (!IsServing()) {
-    return Reject(id, kStatusUnavailable, Error{ErrorId::kNotServing, "", "this entry does not take new work"});
+    return Reject(id, kStatusUnavailable, Error{ErrorId::kNotServing, "", "this entry is not accepting new work"});
   }
   if (m_previews.open() >= static_cast<std::size_t>(m_context.settings.max_open_requests)) {
     return Reject(id, kStatusUnavailable, Error{ErrorId::kQueueFull, "", "too many open previews"});
@@ -123,7 +123,7 @@
   for (std::size_t i = 0; i < specs.size(); ++i) {
     std::optional<Error> error = AdmitSpec(*principal, specs[i]);
     if (specs[i].work_class == WorkClass::kPreview) {
-      error = Error{ErrorId::kInputField, "/class", "previews are sent to /v1/previews"};
+      error = Error{ErrorId::kInputField, "/class", "previews must be sent to /v1/previews"};
     }
     if (!error) continue;
     error->path = fmt::format("/tasks/{}{}", i, error->path);
@@ -151,7 +151,8 @@
     Response response;
     response.status = kStatusGatewayTimeout;
     response.verdict = Verdict::kMayHaveRun;
-    response.error = Error{ErrorId::kOutcomeUnknown, "", "the store has not confirmed the change; look at the version"};
+    response.error = Error{ErrorId::kOutcomeUnknown, "",
+                           "the table service has not confirmed the change; check the configuration version"};
     m_effects.Reply(id, response);
   });
 }
@@ -160,7 +161,7 @@
   if (!Authenticate(id, request.secret, Role::kOperator)) return;
   ScheduleOperatorTimeout(id);
   if (!IsServing()) {
-    return Reject(id, kStatusUnavailable, Error{ErrorId::kNotServing, "", "this entry does not take new work"});
+    return Reject(id, kStatusUnavailable, Error{ErrorId::kNotServing, "", "this entry is not accepting new work"});
   }
   m_plan_service.Plan(id, request.intents);
 }
@@ -169,7 +170,7 @@
   if (!Authenticate(id, request.secret, Role::kOperator)) return;
   ScheduleOperatorTimeout(id);
   if (!IsServing()) {
-    return Reject(id, kStatusUnavailable, Error{ErrorId::kNotServing, "", "this entry does not take new work"});
+    return Reject(id, kStatusUnavailable, Error{ErrorId::kNotServing, "", "this entry is not accepting new work"});
   }
   m_plan_service.Confirm(id, request.plan, request.base_version);
 }
--- a/src/core/event.h
+++ b/src/core/event.h
@@ -11,13 +11,13 @@
 
 namespace jaymast {
 
-/// Kinds of time line events. Names appear in event logs and are stable.
+/// Kinds of timeline events. Their names appear in event logs and are stable.
 enum class EventKind {
   kEntryState,        ///< detail: lifecycle state
   kEntryExpired,      ///< other: the expired entry
   kLeaseRenewed,      ///< config_version: acknowledged version
   kOwnerClaimed,      ///< upstream, epoch
-  kOwnerFenced,       ///< upstream, epoch; the upstream is usable from now on
+  kOwnerFenced,       ///< upstream, epoch; the upstream becomes usable
   kOwnerReleased,     ///< upstream, epoch
   kConfigInstalled,   ///< config_version
   kConfigCommitted,   ///< config_version; detail: summary of the change
@@ -35,12 +35,12 @@
   kAllotmentChanged,  ///< team, amount
   kKeyRefused,        ///< detail: reason
   kPlanMade,          ///< detail: plan id
-  kRunnerStarted,     ///< emitted by runners: task, attempt, team, upstream, domain, epoch; amount: slots in use
-  kRunnerEnded,       ///< emitted by runners: task, attempt, upstream; detail: state
-  kRunnerRefused,     ///< emitted by runners: task, attempt, upstream, epoch; detail: reason
-  kRunnerFenced,      ///< emitted by runners: upstream, epoch, other: owner
-  kFault,             ///< emitted by tests: detail: the injected fault
-  kCallerLeft,        ///< request; the caller closed its connection before the answer
+  kRunnerStarted,     ///< emitted by runners; task, attempt, team, upstream, domain, epoch; amount: slots in use
+  kRunnerEnded,       ///< emitted by runners; task, attempt, upstream; detail: state
+  kRunnerRefused,     ///< emitted by runners; task, attempt, upstream, epoch; detail: reason
+  kRunnerFenced,      ///< emitted by runners; upstream, epoch; other: owner
+  kFault,             ///< emitted by tests; detail: the injected fault
+  kCallerLeft,        ///< request; the caller disconnected before the response
 };
 
 template <>
@@ -59,10 +59,10 @@
   };
 };
 
-/// One event of the time line. Fields that a kind does not use stay empty.
+/// One event of the timeline. Fields that the kind does not use are empty.
 struct Event {
   EventKind kind = EventKind::kFault;
-  Time time;            ///< time of the emitting process
+  Time time;            ///< on the clock of the emitting process
   std::string process;  ///< name of the emitting process
   TaskId task;
   std::int64_t attempt = 0;
--- a/src/core/guarded_effects.h
+++ b/src/core/guarded_effects.h
@@ -10,7 +10,7 @@
 
 namespace jaymast {
 
-/// Forwards to other effects, and drops the callbacks of calls that were open when this object was destroyed.
+/// Forwards to another Effects, and drops callbacks that arrive after this object was destroyed.
 class GuardedEffects final : public Effects {
  public:
   GuardedEffects(Effects& effects, std::string process)
@@ -35,15 +35,15 @@
                     Time deadline, UpstreamCallback done) override {
     m_effects.CallUpstream(upstream, address, request, deadline, Guard<UpstreamReply>(std::move(done)));
   }
-  /// Registers a request that must be answered.
+  /// Registers a request that needs a response.
   void Open(RequestId request) { m_open.insert(request); }
 
-  /// The caller went away, so the request needs no answer.
+  /// Removes a request whose caller has disconnected.
   void Close(RequestId request) { m_open.erase(request); }
 
   const std::set<RequestId>& open() const { return m_open; }
 
-  /// Answers an open request and records the answer. A second answer is dropped.
+  /// Responds to an open request and emits an event. Further responses to the request are dropped.
   void Reply(RequestId request, const Response& response) override {
     if (m_open.erase(request) == 0) return;
     Event event;
@@ -56,7 +56,7 @@
     m_effects.Reply(request, response);
   }
 
-  /// Adds time and process to the event.
+  /// Emits the event with the time and the process filled in.
   void Emit(const Event& event) override {
     Event stamped = event;
     stamped.time = Now();
--- a/src/core/peer_message.h
+++ b/src/core/peer_message.h
@@ -16,17 +16,17 @@
 
 namespace jaymast {
 
-/// Heartbeat with the free capacity of the sender's upstreams.
+/// Heartbeat between entries, with the free capacity of the sender's upstreams.
 struct Summary {
   DomainId domain;
   bool serving = false;
   Resources free;
   Resources largest_free;  ///< free capacity of the sender's least loaded upstream
   std::int64_t config_version = 0;
-  std::int64_t handovers = 0;  ///< upstreams that the sender has handed over; a change tells peers to read the owners
+  std::int64_t handovers = 0;  ///< upstreams handed over by the sender; peers read the owner rows when it changes
 };
 
-/// Asks an owner to place and run a task that needs no claim.
+/// Asks an owner to place and run a task that needs no claim in the table.
 struct RunRequest {
   std::uint64_t call = 0;
   TaskSpec spec;
@@ -44,7 +44,7 @@
   std::string output;
 };
 
-/// Asks an owner to reserve capacity for an attempt. The body of the specification is not sent.
+/// Asks an owner to reserve capacity for an attempt. The specification is sent without its body.
 struct HoldRequest {
   TaskSpec spec;
   std::int64_t attempt = 0;
@@ -60,18 +60,19 @@
   std::int64_t epoch = 0;
 };
 
-/// Starts an attempt for which the receiver holds capacity and whose claim has committed.
+/// Starts an attempt whose claim has committed and for which the receiver has reserved capacity.
 struct StartOrder {
   TaskSpec spec;
   std::int64_t attempt = 0;
   std::string checkpoint;
 };
 
+/// Frees the capacity reserved for an attempt.
 struct ReleaseHold {
   AttemptId id;
 };
 
-/// How an attempt ended.
+/// How an attempt ended. kExpired (its lease ended, or its runner does not know it) is written as "lapsed".
 enum class Outcome { kSucceeded, kFailed, kStopped, kCheckpointed, kExpired, kNotStarted };
 
 template <>
@@ -80,7 +81,7 @@
                                                              "checkpointed", "lapsed", "not_started"};
 };
 
-/// Result of an attempt, sent by the owner until the home entry acknowledges it.
+/// Result of an attempt. The owner repeats it until the home entry acknowledges it.
 struct TaskResult {
   AttemptId id;
   Outcome outcome = Outcome::kNotStarted;
@@ -93,14 +94,14 @@
   AttemptId id;
 };
 
-/// Asks the owner of an upstream about a claimed attempt whose start order may not have been sent.
+/// Asks the owner of an upstream for the state of a claimed attempt whose StartOrder may not have been sent.
 struct TaskProbe {
   AttemptId id;
   UpstreamId upstream;
   std::int64_t epoch = 0;
 };
 
-/// Answer to a probe for an attempt that is still running. Any other state is answered with a TaskResult.
+/// Reply to a TaskProbe for an attempt that is still running. For any other state, the reply is a TaskResult.
 struct TaskRunning {
   AttemptId id;
 };
@@ -110,12 +111,12 @@
   StopMode mode = StopMode::kStop;
 };
 
-/// A newer configuration, as JSON.
+/// Distributes a newer configuration, as JSON.
 struct ConfigPush {
   std::string config;
 };
 
-/// Asks the receiver to return unused allotment of a team to the pool.
+/// Asks the receiver to return unused allotment of a team to the shared pool.
 struct AllotmentRequest {
   TeamId team;
   std::int64_t amount = 0;
--- a/src/core/request.h
+++ b/src/core/request.h
@@ -18,21 +18,21 @@
 
 namespace jaymast {
 
-/// Number of a request from a caller or operator, unique within one process.
+/// Id of a request from a caller or operator, unique within one process.
 using RequestId = std::uint64_t;
 
 /// Runs an idempotent task and waits for its output.
 struct PreviewRequest {
-  std::string secret;  ///< bearer key, never logged
+  std::string secret;  ///< API key of the caller, never logged
   TaskSpec spec;
   Time deadline;
 };
 
-/// Accepts durable tasks. Members of one gang are submitted together.
+/// Submits durable tasks. All members of a gang are submitted in one request.
 struct SubmitRequest {
   std::string secret;
   std::vector<TaskSpec> specs;
-  Time wait_until;  ///< answer when all tasks ended, or at this time
+  Time wait_until;  ///< respond when all tasks have ended, at this time at the latest
 };
 
 struct TaskStatusRequest {
@@ -74,11 +74,11 @@
 using Request = std::variant<PreviewRequest, SubmitRequest, TaskStatusRequest, CancelRequest, PlanRequest,
                              ConfirmRequest, ViewRequest>;
 
-/// The answer to a caller or operator.
+/// The response to a caller or operator.
 struct Response {
   int status = 0;  ///< HTTP status
   Verdict verdict = Verdict::kNotRun;
-  std::optional<Error> error;  ///< answered as problem+json when set
+  std::optional<Error> error;  ///< sent as application/problem+json when set
   std::string body;            ///< JSON, or the raw output of a preview
   bool raw = false;            ///< whether the body is the raw output of a task
 };
--- a/src/core/table.h
+++ b/src/core/table.h
@@ -12,26 +12,26 @@
 
 namespace jaymast {
 
-/// One row of the table service. A version is the number of the transaction that wrote the row.
+/// One row of the table service. Its version is the number of the transaction that wrote it.
 struct Row {
   std::string key;
   std::string value;
   std::int64_t version = 0;
 };
 
-/// Requires a row to have a version. Version 0 means that the row is absent.
+/// Requires a row to have the given version, or to be absent for version 0.
 struct Condition {
   std::string key;
   std::int64_t version = 0;
 };
 
-/// Puts a value, or deletes the row when the value is absent.
+/// Writes a row, or deletes it when `value` is absent.
 struct Write {
   std::string key;
   std::optional<std::string> value;
 };
 
-/// Writes that take effect together if all conditions hold.
+/// Writes that take effect atomically if all conditions hold.
 struct Transaction {
   TransactionId id;
   std::vector<Condition> conditions;
@@ -41,7 +41,7 @@
 enum class CommitStatus {
   kCommitted,
   kConflict,  ///< a condition did not hold; nothing was written
-  kNotSent,   ///< certainly not written
+  kNotSent,   ///< nothing was written
   kUnknown,   ///< may have been written
 };
 
@@ -67,7 +67,7 @@
 
 enum class LookupStatus {
   kCommitted,
-  kAbsent,  ///< did not commit, and never will: the lookup reserved the id as aborted
+  kAbsent,  ///< has not committed and cannot: the lookup marked the id as aborted
   kUnavailable,
 };
 
--- a/src/core/table_client.h
+++ b/src/core/table_client.h
@@ -10,11 +10,11 @@
 
 namespace jaymast {
 
-/// Final result of a transaction.
+/// Final outcome of a transaction.
 enum class CommitOutcome {
   kCommitted,
   kConflict,
-  kUnavailable,  ///< certainly not written, and it never will be
+  kUnavailable,  ///< nothing was written, and nothing will be
 };
 
 template <>
@@ -22,7 +22,7 @@
   static constexpr std::array<std::string_view, 3> kNames = {"committed", "conflict", "unavailable"};
 };
 
-/// Table access for the slices: resolves lost answers by the transaction id and keeps to the write budget.
+/// Accesses the table service: looks up transactions whose reply was lost, and limits the write rate.
 class TableClient {
  public:
   using CommitDone = std::function<void(CommitOutcome outcome, std::int64_t version)>;
@@ -30,18 +30,18 @@
 
   explicit TableClient(Context& context);
 
-  /// Commits a transaction. When the answer is lost, `done` waits until a lookup tells what happened.
-  /// @param on_unknown called each time that an answer is lost, if set
+  /// Commits a transaction. If the reply is lost, `done` is called when a lookup by the transaction id succeeds.
+  /// @param on_unknown called each time that a reply is lost, if set
   void Commit(std::vector<Condition> conditions, std::vector<Write> writes, CommitDone done,
               std::function<void()> on_unknown = nullptr);
 
   void Read(const ReadRequest& request, ReadDone done);
 
-  /// Takes one write from the budget.
-  /// @return false when the budget of this moment is used up
+  /// Consumes one write of the write budget.
+  /// @return false when the budget is exhausted
   bool TakeWriteBudget();
 
-  /// Whether the last answered or failed call was answered.
+  /// Whether the last completed call got a reply.
   bool IsReachable() const { return m_reachable; }
 
  private:
--- a/src/core/timers.h
+++ b/src/core/timers.h
@@ -9,14 +9,14 @@
 
 namespace jaymast {
 
-/// Callbacks ordered by deadline, then by the order in which they were added.
+/// Runs callbacks in the order of their deadlines, those with the same deadline in the order of insertion.
 class Timers {
  public:
   using Callback = std::function<void()>;
 
   void At(Time deadline, Callback callback) { m_callbacks.emplace(deadline, std::move(callback)); }
 
-  /// Runs all callbacks whose deadline has passed. Callbacks added meanwhile run too if they are due.
+  /// Runs all callbacks whose deadline has passed, including due ones added by these callbacks.
   void Run(Time now) {
     while (!m_callbacks.empty() && m_callbacks.begin()->first <= now) {
       const Callback callback = std::move(m_callbacks.begin()->second);
--- a/src/core/upstream_protocol.h
+++ b/src/core/upstream_protocol.h
@@ -15,7 +15,7 @@
 
 namespace jaymast {
 
-/// One attempt at a task. A late message of an earlier attempt cannot be taken for the current one.
+/// Identifies one attempt at a task, so that late messages of an earlier attempt are told apart.
 struct AttemptId {
   TaskId task;
   std::int64_t attempt = 0;
@@ -24,7 +24,7 @@
   friend auto operator<=>(const AttemptId&, const AttemptId&) = default;  // NOLINT(modernize-use-nullptr): false alarm
 };
 
-/// Sender of a request to a runner. The epoch is the fencing token of the upstream's owner.
+/// Owner of an upstream and the epoch of its ownership. Runners reject requests with a token of an earlier owner.
 struct FencingToken {
   EntryId owner;
   std::int64_t epoch = 0;
@@ -32,12 +32,12 @@
   friend bool operator==(const FencingToken&, const FencingToken&) = default;
 };
 
-/// Makes the sender the owner if its epoch is higher than any that the runner accepted.
+/// Makes the sender the owner if its epoch is higher than any the runner has accepted.
 struct FenceRequest {
   FencingToken token;
 };
 
-/// Runs a task and waits for its output. Refused as not run after `start_by_ms` on the runner's clock.
+/// Runs a task and waits for its output. Refused, without running the task, after `start_by_ms` on the runner's clock.
 struct RunTaskRequest {
   FencingToken token;
   TaskSpec spec;
@@ -56,7 +56,7 @@
   std::int64_t lease_until_ms = 0;
 };
 
-/// Renews the leases of tasks up to `lease_until_ms` on the runner's clock and drops acknowledged results.
+/// Extends the leases of `tasks` to `lease_until_ms` on the runner's clock and drops the `acknowledged` results.
 struct RenewRequest {
   FencingToken token;
   std::int64_t lease_until_ms = 0;
@@ -79,6 +79,7 @@
 
 using UpstreamRequest = std::variant<FenceRequest, RunTaskRequest, StartTaskRequest, RenewRequest, StopTaskRequest>;
 
+/// State of a task at the runner. kExpired (its lease ended) is written as "lapsed".
 enum class RunnerTaskState { kRunning, kSucceeded, kFailed, kStopped, kCheckpointed, kExpired };
 
 template <>
@@ -87,7 +88,7 @@
                                                              "stopped", "checkpointed", "lapsed"};
 };
 
-/// A task as the runner reports it.
+/// State of a task as reported by the runner.
 struct RunnerTask {
   AttemptId id;
   EntryId home;
@@ -96,7 +97,7 @@
   WorkClass work_class = WorkClass::kBatch;
   Semantics semantics = Semantics::kIdempotent;
   Resources demand;
-  Resources usage;  ///< lagged
+  Resources usage;  ///< reported with a delay
   std::int64_t run_ms = 0;
   RunnerTaskState state = RunnerTaskState::kRunning;
   std::string output;  ///< output when succeeded, reason when failed, state when checkpointed
@@ -104,9 +105,9 @@
 
 enum class CallStatus {
   kOk,
-  kRefused,  ///< the runner refused; it did not act on the request
-  kNotSent,  ///< certainly not received
-  kUnknown,  ///< may have been acted on
+  kRefused,  ///< refused by the runner, with no effect
+  kNotSent,  ///< not received by the runner
+  kUnknown,  ///< may have taken effect
 };
 
 template <>
@@ -114,16 +115,16 @@
   static constexpr std::array<std::string_view, 4> kNames = {"ok", "refused", "not_sent", "unknown"};
 };
 
-/// Answer of a runner.
+/// Reply of a runner.
 struct UpstreamReply {
   CallStatus status = CallStatus::kUnknown;
   std::string reason;                                    ///< why the runner refused
-  FencingToken current;                                  ///< the owner that the runner accepts
+  FencingToken current;                                  ///< token of the owner that the runner accepts
   std::int64_t previous_epoch = 0;                       ///< highest epoch accepted before a fence; 0 after a restart
-  std::int64_t now_ms = 0;                               ///< the runner's clock when it answered
-  RunnerTaskState result = RunnerTaskState::kSucceeded;  ///< answer to RunTaskRequest
-  std::string output;                                    ///< answer to RunTaskRequest
-  std::vector<RunnerTask> tasks;                         ///< answer to FenceRequest and RenewRequest
+  std::int64_t now_ms = 0;                               ///< the runner's clock at the reply
+  RunnerTaskState result = RunnerTaskState::kSucceeded;  ///< for RunTaskRequest
+  std::string output;                                    ///< for RunTaskRequest
+  std::vector<RunnerTask> tasks;                         ///< for FenceRequest and RenewRequest
 };
 
 }  // namespace jaymast
--- a/src/core/views.cc
+++ b/src/core/views.cc
@@ -165,9 +165,10 @@
   if (const auto error = CheckDemand(task.spec.demand, task.spec.domain, node.instances())) {
     object["constraint"] = error->path + ": " + error->reason;
   } else if (used >= node.allotments().Allowed(task.spec.team)) {
-    object["constraint"] = "limit: the team's allotment at this entry is in use; a finished task of the team frees it";
+    object["constraint"] =
+        "limit: the team's allotment at this entry is fully used; it is freed when a task of the team ends";
   } else if (!task.spec.demand.FitsIn(free)) {
-    object["constraint"] = "capacity: the demand exceeds what is free at this entry; finished tasks free it";
+    object["constraint"] = "capacity: the demand exceeds the free capacity at this entry; it is freed when tasks end";
   } else {
     object["constraint"] = "none at this entry";
   }
--- a/src/model/cluster_config.h
+++ b/src/model/cluster_config.h
@@ -13,7 +13,7 @@
 
 namespace jaymast {
 
-/// What the bearer of a key may do.
+/// Permissions of an API key.
 enum class Role { kSubmitter, kOperator };
 
 template <>
@@ -23,27 +23,27 @@
 
 struct Team {
   std::int64_t share = 1;  ///< weight in weighted dominant-resource fairness
-  std::int64_t limit = 0;  ///< most tasks that may run at once over the whole fleet
+  std::int64_t limit = 0;  ///< maximum number of running tasks in the cluster
 
   friend bool operator==(const Team&, const Team&) = default;
 };
 
 struct ApiKey {
-  std::string sha256;  ///< hash of the secret, as hexadecimal digits
+  std::string sha256;  ///< digest of the secret, in hexadecimal digits
   TeamId team;
   Role role = Role::kSubmitter;
 
   friend bool operator==(const ApiKey&, const ApiKey&) = default;
 };
 
-/// The versioned configuration of the whole cluster. One version is in force at an entry at a time.
+/// The versioned configuration of the cluster. Each entry applies one version at a time.
 struct ClusterConfig {
   std::int64_t version = 0;
   std::map<TeamId, Team> teams;
   std::map<KeyId, ApiKey> keys;
   std::set<DomainId> domains_out_of_service;
   std::set<UpstreamId> upstreams_out_of_service;
-  std::map<WorkClass, std::string> policies;  ///< name of the placement policy of a class of work
+  std::map<WorkClass, std::string> policies;  ///< placement policy by class of work
 
   friend bool operator==(const ClusterConfig&, const ClusterConfig&) = default;
 };
--- a/src/model/codec.h
+++ b/src/model/codec.h
@@ -14,7 +14,7 @@
 
 namespace jaymast {
 
-/// Largest accepted task body in bytes.
+/// Maximum size of a task body in bytes.
 inline constexpr std::size_t kMaxBodyBytes = 1U << 20U;
 
 boost::json::object ToJson(const Resources& resources);
--- a/src/model/codec_test.cc
+++ b/src/model/codec_test.cc
@@ -24,7 +24,7 @@
   EXPECT_EQ(*spec, *decoded);
 }
 
-// Guards against input that is accepted although a field is misspelt, negative or of the wrong type.
+// Guards against accepting input with a field that is misspelt, negative or of the wrong type.
 TEST(CodecTest, InvalidFieldsAreRejectedWithTheirPath) {
   EXPECT_EQ(ParseSpec(R"({"tema":"desk"})").error().path, "/tema");
   EXPECT_EQ(ParseSpec(R"({"demand":{"memory_mb":-1}})").error().path, "/demand/memory_mb");
--- a/src/model/instance_list.h
+++ b/src/model/instance_list.h
@@ -6,7 +6,7 @@
 
 namespace jaymast {
 
-/// The platform's lagging list of live and leaving upstream instances.
+/// The platform's list of live and leaving upstreams. It lags behind the actual state.
 struct InstanceList {
   std::vector<UpstreamInfo> upstreams;
 };
--- a/src/model/intent.h
+++ b/src/model/intent.h
@@ -11,7 +11,7 @@
 
 namespace jaymast {
 
-/// Starts `replicas` tasks of one specification: a service, a batch, or a gang when the class is gang.
+/// Starts `replicas` tasks with the same specification. They form a gang when the class is gang.
 struct RunIntent {
   TaskSpec spec;
   std::int64_t replicas = 1;
@@ -26,11 +26,13 @@
   TeamId team;
 };
 
+/// Adds an API key; its type is written as "give_key".
 struct GrantKeyIntent {
   KeyId key;
   ApiKey value;
 };
 
+/// Removes an API key; its type is written as "withdraw_key".
 struct RevokeKeyIntent {
   KeyId key;
 };
--- a/src/model/malformed_input_test.cc
+++ b/src/model/malformed_input_test.cc
@@ -20,7 +20,7 @@
   "epoch":3,"previous_epoch":2,"tasks":[{"task":"t","attempt":1,"home":"e1","team":"desk","kind":"k","class":"batch",
   "semantics":"exclusive","demand":{"slots":1},"usage":{"cpu_millis":1},"run_ms":7,"state":"running","output":""}]})";
 
-/// Decoder of a JSON text for a decoder of JSON objects.
+/// Wraps a decoder of JSON objects as a decoder of JSON text.
 template <typename FromJson>
 auto JsonTextDecoder(const FromJson& from_json) {
   return [from_json](const std::string& text) -> decltype(from_json(boost::json::object(), "")) {
@@ -32,7 +32,8 @@
 
 constexpr auto kEncode = [](const auto& value) { return boost::json::serialize(ToJson(value)); };
 
-// These tests guard against a crash, an error without a place, and a value that is accepted but cannot be passed on.
+// These tests mutate valid JSON. They guard against a crash, an error without a path, and an accepted value that cannot
+// be encoded again.
 TEST(MalformedInputTest, TaskSpecsDecodeOrFailWithAPath) {
   CheckMutatedJson({kSpec, "{}"}, JsonTextDecoder(TaskSpecFromJson), kEncode);
 }
@@ -76,7 +77,7 @@
   CheckMutatedJson({EncodeLookupReply({LookupStatus::kCommitted, 4})}, DecodeLookupReply, EncodeLookupReply);
 }
 
-// Guards against an epoch that overflows when the next owner raises it.
+// Guards against an epoch that overflows when the next owner increments it.
 TEST(MalformedInputTest, EpochsThatWouldOverflowAreRejected) {
   const Result<UpstreamReply> reply = DecodeUpstreamReply(R"({"epoch":9223372036854775807})");
   ASSERT_FALSE(reply);
@@ -84,7 +85,7 @@
   EXPECT_EQ(DecodeUpstreamReply(R"({"previous_epoch":9223372036854775807})").error().path, "/previous_epoch");
 }
 
-// Guards against a version that overflows with the next confirmed change.
+// Guards against a version that overflows when the next change is confirmed.
 TEST(MalformedInputTest, ConfigurationVersionsThatWouldOverflowAreRejected) {
   EXPECT_EQ(JsonTextDecoder(ClusterConfigFromJson)(R"({"version":9223372036854775807})").error().path, "/version");
 }
--- a/src/model/path.cc
+++ b/src/model/path.cc
@@ -23,7 +23,7 @@
     const auto encoded = boost::urls::make_pct_string_view(boost::urls::string_view(segment.data(), segment.size()));
     if (!encoded) return error;
     segments.push_back(encoded->decode());
-    // Names from the path are repeated in JSON bodies.
+    // Segments are copied into JSON bodies, which must be UTF-8.
     if (!IsUtf8(segments.back())) return error;
     rest.remove_prefix(segment.size());
   }
--- a/src/model/path.h
+++ b/src/model/path.h
@@ -8,10 +8,11 @@
 
 namespace jaymast {
 
-/// Percent-encodes a text for use as one segment of a path.
+/// Percent-encodes a text as one segment of a path.
 std::string EncodeSegment(std::string_view text);
 
-/// Splits a path into its decoded segments: "/v1/tasks/a%2Fb" gives "v1", "tasks" and "a/b". A query is ignored.
+/// Splits a path into decoded segments: "/v1/tasks/a%2Fb" gives "v1", "tasks" and "a/b". A query is ignored.
+/// @return the segments, or jaymast.route.unknown when the path is malformed or not UTF-8
 Result<std::vector<std::string>> SplitPath(std::string_view target);
 
 }  // namespace jaymast
--- a/src/model/plan.h
+++ b/src/model/plan.h
@@ -12,18 +12,18 @@
 
 namespace jaymast {
 
-/// The answer to an intent: what a confirmation would change. Nothing changes until it is confirmed.
+/// The changes that a list of intents would make. They take effect when the plan is confirmed.
 struct Plan {
   PlanId id;
-  std::int64_t base_version = 0;  ///< configuration version the plan was made from
+  std::int64_t base_version = 0;  ///< configuration version that the plan is based on
   std::vector<Intent> intents;
-  ClusterConfig target;                     ///< configuration after the confirmation
+  ClusterConfig target;                     ///< configuration after confirmation
   std::vector<std::string> starts;          ///< tasks that will start
   std::vector<std::string> moves;           ///< tasks that will be checkpointed and moved
   std::vector<std::string> stops;           ///< tasks that will be stopped
   std::vector<std::string> refusals;        ///< intents or tasks that will be refused, with the reason
-  std::map<DomainId, Resources> capacity;   ///< usable capacity per failure domain afterwards
-  std::map<TeamId, std::int64_t> headroom;  ///< limit less running tasks per team afterwards
+  std::map<DomainId, Resources> capacity;   ///< usable capacity per failure domain after confirmation
+  std::map<TeamId, std::int64_t> headroom;  ///< limit minus running tasks, per team, after confirmation
 };
 
 }  // namespace jaymast
--- a/src/model/read_items.h
+++ b/src/model/read_items.h
@@ -14,10 +14,11 @@
 
 namespace jaymast {
 
-/// Most items in one array of a message.
+/// Maximum number of items in one array of a message.
 inline constexpr std::size_t kMaxArrayItems = 65'536;
 
-/// Rejects unknown fields and returns the value, or the first error of the reader.
+/// Rejects unknown fields.
+/// @return the value, or the first error of the reader
 template <typename T>
 Result<T> FinishReading(FieldReader& reader, T value) {
   reader.RejectUnknown();
@@ -25,7 +26,7 @@
   return value;
 }
 
-/// Reads an array of objects. `read` gets a reader of one object and the path of that object.
+/// Reads an array of objects. `read` is called with a reader for each object and the path of the object.
 template <typename T, typename Read>
 std::vector<T> ReadItems(FieldReader& reader, const std::string& name, const Read& read) {
   std::vector<T> items;
--- a/src/model/runner_codec.cc
+++ b/src/model/runner_codec.cc
@@ -26,7 +26,7 @@
 constexpr std::size_t kMaxCheckpointBytes = 1U << 20U;
 constexpr std::size_t kMaxOutputBytes = 4U << 20U;
 
-/// Largest time in a message: 100 years in milliseconds. It can be converted to microseconds without overflow.
+/// Largest time in a message: 100 years in milliseconds, which convert to microseconds without overflow.
 constexpr std::int64_t kMaxTimeMs = 100LL * 365 * 24 * 3600 * 1000;
 
 void WriteToken(json::object& object, const FencingToken& token) {
@@ -168,9 +168,7 @@
   return FinishReading<UpstreamRequest>(reader, std::move(request));
 }
 
-Error UnknownRoute(const HttpCall& call) {
-  return Error{ErrorId::kRouteUnknown, call.target, "unknown route of a runner"};
-}
+Error UnknownRoute(const HttpCall& call) { return Error{ErrorId::kRouteUnknown, call.target, "unknown runner route"}; }
 
 json::object TaskToJson(const RunnerTask& task) {
   return {{"task", task.id.task.value()},
--- a/src/model/runner_codec.h
+++ b/src/model/runner_codec.h
@@ -9,14 +9,14 @@
 
 namespace jaymast {
 
-/// Encodes a request to a runner as an HTTP call to its route.
+/// Encodes a request to a runner as an HTTP call.
 HttpCall EncodeUpstreamRequest(const UpstreamRequest& request);
 
 /// Decodes an HTTP call to a runner.
 /// @return the request, or jaymast.route.unknown, or an input error with the path of the offending field
 Result<UpstreamRequest> DecodeUpstreamRequest(const HttpCall& call);
 
-/// HTTP status of an answer of a runner: 200, or 409 when it refused.
+/// Returns the HTTP status of a reply: 409 when the runner refused the request, else 200.
 int HttpStatusOf(const UpstreamReply& reply);
 
 std::string EncodeUpstreamReply(const UpstreamReply& reply);
--- a/src/model/table_codec.cc
+++ b/src/model/table_codec.cc
@@ -59,7 +59,7 @@
   write.key = reader.RequiredString("key", kMaxKeyBytes);
   const std::string value = reader.String("value", "", kMaxValueBytes);
   if (!reader.Bool("delete", false)) write.value = value;
-  if (!write.value && !value.empty()) reader.Fail("delete", "a deleted row has no value");
+  if (!write.value && !value.empty()) reader.Fail("delete", "a deleted row must not have a value");
   return write;
 }
 
@@ -114,7 +114,7 @@
 Result<TableRequest> DecodeTableRequest(const HttpCall& call) {
   const Result<std::vector<std::string>> path = SplitPath(call.target);
   if (!path) return path.error();
-  const Error unknown{ErrorId::kRouteUnknown, call.target, "unknown route of the table service"};
+  const Error unknown{ErrorId::kRouteUnknown, call.target, "unknown table service route"};
   if (path->size() < 2 || path->at(0) != "v1") return unknown;
   const bool lookup = call.method == "GET" && path->size() == 3 && path->at(1) == "txn" && !path->at(2).empty();
   if (lookup) return TableRequest(LookupRequest{TransactionId(path->at(2))});
--- a/src/model/table_codec.h
+++ b/src/model/table_codec.h
@@ -10,7 +10,7 @@
 
 namespace jaymast {
 
-/// Asks whether a transaction committed.
+/// Asks whether a transaction has committed.
 struct LookupRequest {
   TransactionId id;
 };
@@ -18,7 +18,7 @@
 /// A request to the table service.
 using TableRequest = std::variant<Transaction, ReadRequest, LookupRequest>;
 
-/// Encodes a request to the table service as an HTTP call to its route.
+/// Encodes a request to the table service as an HTTP call.
 HttpCall EncodeTableRequest(const TableRequest& request);
 
 /// Decodes an HTTP call to the table service.
--- a/src/model/upstream_info.h
+++ b/src/model/upstream_info.h
@@ -8,7 +8,7 @@
 
 namespace jaymast {
 
-/// An upstream as the platform lists it.
+/// An upstream as listed by the platform.
 struct UpstreamInfo {
   UpstreamId id;
   DomainId domain;
--- a/src/model/utf8.cc
+++ b/src/model/utf8.cc
@@ -5,7 +5,7 @@
 namespace jaymast {
 
 bool IsUtf8(std::string_view text) {
-  // The serializer copies bytes as they are, and the parser refuses those that are not UTF-8.
+  // The serializer copies bytes unchanged, and the parser rejects those that are not UTF-8.
   boost::system::error_code ec;
   boost::json::parse(boost::json::serialize(boost::json::string(text)), ec);
   return !ec;
--- a/src/model/utf8.h
+++ b/src/model/utf8.h
@@ -4,7 +4,7 @@
 
 namespace jaymast {
 
-/// Whether a text can be stored in JSON and read again.
+/// Whether a text is valid UTF-8, so that it can be written to JSON and read back.
 bool IsUtf8(std::string_view text);
 
 }  // namespace jaymast
--- a/src/model/wire_codec_test.cc
+++ b/src/model/wire_codec_test.cc
@@ -11,7 +11,7 @@
 namespace jaymast {
 namespace {
 
-/// Checks a property with a fixed seed, so that each run tries the same cases.
+/// Checks a property with a fixed seed, so that all runs try the same cases.
 template <typename Property>
 void CheckWithFixedSeed(const Property& property) {
   rc::detail::TestParams params;
@@ -21,7 +21,7 @@
   EXPECT_TRUE(result.template is<rc::detail::SuccessResult>()) << result;
 }
 
-/// Text with characters that need escapes in JSON and in paths.
+/// Returns a text with characters that must be escaped in JSON and in paths.
 std::string RandomText() { return *rc::gen::container<std::string>(rc::gen::inRange<char>(1, 127)); }
 
 std::string RandomName() {
@@ -103,8 +103,8 @@
   }
 }
 
-// Guards against a field that is left out, swapped or not escaped. Fields have no comparison of their own in the
-// protocol, so the second encoding is compared with the first, and the values of one message with the original.
+// Guards against a field that is omitted, swapped or not escaped. The message types have no operator==, so the
+// encodings before and after decoding are compared, and single fields of replies.
 TEST(WireCodecTest, UpstreamRequestsRoundTripUnchanged) {
   CheckWithFixedSeed([] {
     const UpstreamRequest request = RandomUpstreamRequest();
@@ -160,7 +160,7 @@
   });
 }
 
-// Guards against an encoding that is consistent with itself but misses the published names.
+// Guards against an encoding that decodes correctly but differs from the published format.
 TEST(WireCodecTest, MessagesMatchThePublishedFormat) {
   const StopTaskRequest stop{{EntryId("e1"), 3}, {TaskId("a/b"), 2}, StopMode::kCheckpoint};
   EXPECT_EQ(EncodeUpstreamRequest(stop),
