--- a/src/placement/admission_queue.cc
+++ b/src/placement/admission_queue.cc
@@ -22,18 +22,18 @@
 bool AdmissionQueue::Push(WaitingTask task) {
   const auto known = m_positions.find(task.id);
   if (known != m_positions.end()) {
-    TakeOut(known->second);
+    Extract(known->second);
   } else if (size() >= m_max_size) {
-    Shed(task.since);
+    ShedLateTasks(task.since);
     if (size() >= m_max_size) return false;
   }
   Entry entry;
-  entry.run_ms = RunTime(task.spec);
+  entry.run_ms = ExpectedRunMs(task.spec);
   entry.latest_start = task.deadline;
   if (task.finish_by != Time::max() && entry.run_ms != std::numeric_limits<std::int64_t>::max()) {
     entry.latest_start = std::min(task.deadline, task.finish_by - std::chrono::milliseconds(entry.run_ms));
   }
-  const Position position{&QueueOf(task.spec), {task.since, m_next_number++}};
+  const Position position{&GetSubQueue(task.spec), {task.since, m_next_sequence++}};
   m_positions.emplace(task.id, position);
   m_latest_starts.emplace(std::pair(entry.latest_start, position.age.second), position);
   entry.task = std::move(task);
@@ -44,7 +44,7 @@
 void AdmissionQueue::Erase(const AttemptId& id) {
   const auto known = m_positions.find(id);
   if (known == m_positions.end()) return;
-  TakeOut(known->second);
+  Extract(known->second);
   DropEmptyQueues();
 }
 
@@ -62,7 +62,7 @@
   std::vector<WaitingTask> expired = std::exchange(m_shed, {});
   while (!m_latest_starts.empty() && m_latest_starts.begin()->first.first <= now) {
     const Position position = m_latest_starts.begin()->second;
-    expired.push_back(TakeOut(position).task);
+    expired.push_back(Extract(position).task);
   }
   DropEmptyQueues();
   return expired;
@@ -78,18 +78,18 @@
   return bytes;
 }
 
-AdmissionQueue::SubQueue& AdmissionQueue::QueueOf(const TaskSpec& spec) {
+AdmissionQueue::SubQueue& AdmissionQueue::GetSubQueue(const TaskSpec& spec) {
   SubQueue& queue = m_queues[{spec.work_class, spec.team, spec.domain}];
   queue.work_class = spec.work_class;
   return queue;
 }
 
-std::int64_t AdmissionQueue::RunTime(const TaskSpec& spec) const {
+std::int64_t AdmissionQueue::ExpectedRunMs(const TaskSpec& spec) const {
   const std::int64_t run_ms = m_estimator == nullptr ? spec.declared_run_ms : m_estimator->EstimateFor(spec).run_ms;
   return run_ms > 0 ? run_ms : std::numeric_limits<std::int64_t>::max();
 }
 
-AdmissionQueue::Entry AdmissionQueue::TakeOut(const Position& position) {
+AdmissionQueue::Entry AdmissionQueue::Extract(const Position& position) {
   SubQueue& queue = *position.queue;
   const Age age = position.age;
   auto node = queue.entries.extract(age);
@@ -101,28 +101,28 @@
   return entry;
 }
 
-void AdmissionQueue::Shed(Time now) {
+void AdmissionQueue::ShedLateTasks(Time now) {
   if (now < m_next_shed) return;
   m_next_shed = now + kShedInterval;
-  std::array<std::size_t, EnumNames<WorkClass>::kNames.size() + 1> per_rank{};
+  std::array<std::size_t, EnumNames<WorkClass>::kNames.size() + 1> tasks_of_rank{};
   std::array<std::size_t, EnumNames<WorkClass>::kNames.size() + 1> queues_of_rank{};
   for (const auto& [key, queue] : m_queues) {
     const auto rank = static_cast<std::size_t>(RankOf(queue.work_class, now, now));
-    per_rank.at(rank) += queue.entries.size();
+    tasks_of_rank.at(rank) += queue.entries.size();
     ++queues_of_rank.at(rank);
   }
   std::vector<Position> late;
   for (auto& [key, queue] : m_queues) {
     const auto rank = static_cast<std::size_t>(RankOf(queue.work_class, now, now));
     std::size_t ahead = 0;
-    for (std::size_t higher = 0; higher < rank; ++higher) ahead += per_rank.at(higher);
+    for (std::size_t higher = 0; higher < rank; ++higher) ahead += tasks_of_rank.at(higher);
     for (const auto& [age, entry] : queue.entries) {
       if (!MeetsDeadline(entry, ahead, now)) late.push_back({&queue, age});
       // The sub-queues of a rank take turns.
       ahead += queues_of_rank.at(rank);
     }
   }
-  for (const Position& position : late) m_shed.push_back(TakeOut(position).task);
+  for (const Position& position : late) m_shed.push_back(Extract(position).task);
   DropEmptyQueues();
 }
 
--- a/src/placement/admission_queue.h
+++ b/src/placement/admission_queue.h
@@ -59,13 +59,13 @@
 class AdmissionQueue {
  public:
   /// Tasks looked at and not taken in one round, for each rank of service. Bounds the cost of a round on a long queue.
-  static constexpr std::size_t kMaxSkipped = 4096;
+  static constexpr std::size_t kMaxSkippedPerRank = 4096;
 
   /// The same for each sub-queue. A team below its share gets this many tries before the next team has a turn.
-  static constexpr std::size_t kMaxSkippedOfQueue = 32;
+  static constexpr std::size_t kMaxSkippedPerSubQueue = 32;
 
   /// Tasks offered and not taken in one round, for each rank of service.
-  static constexpr std::size_t kMaxFailedOffers = 128;
+  static constexpr std::size_t kMaxFailedOffersPerRank = 128;
 
   AdmissionQueue(const FairShare& fair_share, std::size_t max_size);
 
@@ -132,7 +132,7 @@
     int rank = 0;
     std::size_t skipped = 0;
     double score = 0;
-    std::size_t taken = 0;  ///< tasks taken in the round when the score was computed
+    std::size_t placed = 0;  ///< tasks taken in the round when the score was computed
     Age age;
     const QueueKey* key = nullptr;
     SubQueue* queue = nullptr;
@@ -140,39 +140,39 @@
     auto OrderKey() const { return std::tie(rank, score, age); }
   };
   /// A demand that did not fit in this round.
-  struct Failure {
+  struct FailedDemand {
     Resources demand;
     DomainId domain;
     std::int64_t run_ms = 0;
-    bool preview = false;
-    const SubQueue* only = nullptr;  ///< applies to this sub-queue alone when set
+    bool is_preview = false;
+    const SubQueue* only_queue = nullptr;  ///< applies to this sub-queue alone when set
   };
   struct Round;
 
-  SubQueue& QueueOf(const TaskSpec& spec);
-  std::int64_t RunTime(const TaskSpec& spec) const;
-  Entry TakeOut(const Position& position);
-  void Shed(Time now);
+  SubQueue& GetSubQueue(const TaskSpec& spec);
+  std::int64_t ExpectedRunMs(const TaskSpec& spec) const;
+  Entry Extract(const Position& position);
+  void ShedLateTasks(Time now);
   bool MeetsDeadline(const Entry& entry, std::size_t ahead, Time now) const;
   int RankOf(WorkClass work_class, Time since, Time now) const;
   std::optional<Cursor> MakeCursor(const QueueKey& key, SubQueue& queue, Time now) const;
-  std::optional<Cursor> Advance(Cursor cursor, std::size_t passed, Time now) const;
+  std::optional<Cursor> Advance(Cursor cursor, std::size_t newly_skipped, Time now) const;
   double ScoreOf(const QueueKey& key, Time now) const;
-  OfferReport Run(Round& round, bool interactive_only);
+  OfferReport RunRound(Round& round, bool interactive_only);
   void OfferPreferred(Round& round);
   void CollectCursors(Round& round, bool interactive_only);
   void OfferRanked(Round& round);
-  bool OfferAt(Round& round, const Cursor& cursor);
-  static void Remember(Round& round, Failure failure);
+  bool OfferNext(Round& round, const Cursor& cursor);
+  static void RecordFailedDemand(Round& round, FailedDemand failed_demand);
   OfferOutcome OfferEntry(Round& round, SubQueue& queue, const Age& age);
-  static bool IsHopeless(const Round& round, const SubQueue& queue, const Entry& entry);
+  static bool IsKnownNotToFit(const Round& round, const SubQueue& queue, const Entry& entry);
   void DropEmptyQueues();
 
   const FairShare& m_fair_share;
   const Estimator* m_estimator = nullptr;
   std::size_t m_max_size;
   QueueOrder m_order = QueueOrder::kFairShare;
-  std::uint64_t m_next_number = 0;
+  std::uint64_t m_next_sequence = 0;
   std::map<QueueKey, SubQueue> m_queues;
   std::unordered_map<AttemptId, Position, AttemptHash> m_positions;
   std::map<std::pair<Time, std::uint64_t>, Position> m_latest_starts;
--- a/src/placement/admission_queue_offer.cc
+++ b/src/placement/admission_queue_offer.cc
@@ -19,30 +19,30 @@
 constexpr int kStarvedRank = 2;
 
 /// A gang needs capacity on several workers at once and loses to single tasks, so it moves up early.
-constexpr Duration kGangStarvation = std::chrono::minutes(2);
-constexpr Duration kStarvation = std::chrono::minutes(10);
+constexpr Duration kGangStarvationAge = std::chrono::minutes(2);
+constexpr Duration kStarvationAge = std::chrono::minutes(10);
 
 /// A task that would delay a reserved start makes only tasks of at most this part of its run time worth an offer.
-constexpr std::int64_t kShorter = 2;
+constexpr std::int64_t kRunTimeDivisor = 2;
 
 /// Demands remembered as not fitting in one round. Tasks are compared with each of them.
-constexpr std::size_t kMaxFailures = 32;
+constexpr std::size_t kMaxFailedDemands = 32;
 
 }  // namespace
 
 /// State of one round of offers.
 struct AdmissionQueue::Round {
-  struct Later {
+  struct ServedLater {
     bool operator()(const Cursor& a, const Cursor& b) const { return b.OrderKey() < a.OrderKey(); }
   };
 
   Time now;
   const std::function<OfferOutcome(const WaitingTask&)>& place;
-  std::priority_queue<Cursor, std::vector<Cursor>, Later> cursors;
+  std::priority_queue<Cursor, std::vector<Cursor>, ServedLater> cursors;
   std::array<std::size_t, kRanks> skipped{};
   std::array<std::size_t, kRanks> failed_offers{};
   std::array<bool, kRanks> is_blocked{};
-  std::vector<Failure> failures;
+  std::vector<FailedDemand> failed_demands;
   OfferReport report;
 };
 
@@ -53,22 +53,22 @@
 
 OfferReport AdmissionQueue::Offer(Time now, const std::function<OfferOutcome(const WaitingTask&)>& place) {
   Round round{now, place, {}, {}, {}, {}, {}, {}};
-  return Run(round, false);
+  return RunRound(round, false);
 }
 
 OfferReport AdmissionQueue::OfferInteractive(Time now, const std::function<OfferOutcome(const WaitingTask&)>& place) {
   Round round{now, place, {}, {}, {}, {}, {}, {}};
-  return Run(round, true);
+  return RunRound(round, true);
 }
 
-OfferReport AdmissionQueue::Run(Round& round, bool interactive_only) {
+OfferReport AdmissionQueue::RunRound(Round& round, bool interactive_only) {
   m_offering = true;
   if (!interactive_only) OfferPreferred(round);
   CollectCursors(round, interactive_only);
   OfferRanked(round);
   m_offering = false;
   m_removed.clear();
-  m_drain_rate.OnTaken(round.report.placed, round.now);
+  m_drain_rate.OnDequeued(round.report.placed, round.now);
   DropEmptyQueues();
   return round.report;
 }
@@ -77,7 +77,7 @@
   if (m_order == QueueOrder::kArrival) return 0;
   const int rank = kClassRank.at(static_cast<std::size_t>(work_class));
   if (m_order == QueueOrder::kPriority || rank < kStarvedRank) return rank;
-  const Duration limit = work_class == WorkClass::kGang ? kGangStarvation : kStarvation;
+  const Duration limit = work_class == WorkClass::kGang ? kGangStarvationAge : kStarvationAge;
   return since + limit <= now ? kStarvedRank : rank;
 }
 
@@ -87,12 +87,13 @@
   return Cursor{RankOf(queue.work_class, oldest.first, now), 0, ScoreOf(key, now), 0, oldest, &key, &queue};
 }
 
-std::optional<AdmissionQueue::Cursor> AdmissionQueue::Advance(Cursor cursor, std::size_t passed, Time now) const {
+std::optional<AdmissionQueue::Cursor> AdmissionQueue::Advance(Cursor cursor, std::size_t newly_skipped,
+                                                              Time now) const {
   const auto next = cursor.queue->entries.upper_bound(cursor.age);
   if (next == cursor.queue->entries.end()) return std::nullopt;
   cursor.age = next->first;
   cursor.rank = RankOf(cursor.queue->work_class, cursor.age.first, now);
-  cursor.skipped += passed;
+  cursor.skipped += newly_skipped;
   return cursor;
 }
 
@@ -112,7 +113,7 @@
     OfferEntry(round, *position.queue, position.age);
   }
   // A preferred task that does not fit says nothing about tasks without a reserved start.
-  round.failures.clear();
+  round.failed_demands.clear();
 }
 
 void AdmissionQueue::CollectCursors(Round& round, bool interactive_only) {
@@ -128,27 +129,27 @@
   while (!round.cursors.empty()) {
     Cursor cursor = round.cursors.top();
     round.cursors.pop();
-    if (cursor.taken != round.report.placed) {
+    if (cursor.placed != round.report.placed) {
       // The team may have got capacity since, also through another of its sub-queues.
-      cursor.taken = round.report.placed;
+      cursor.placed = round.report.placed;
       cursor.score = ScoreOf(*cursor.key, round.now);
       round.cursors.push(cursor);
       continue;
     }
     const auto rank = static_cast<std::size_t>(cursor.rank);
-    if (round.skipped[rank] >= kMaxSkipped || round.failed_offers[rank] >= kMaxFailedOffers) continue;
-    if (cursor.skipped >= kMaxSkippedOfQueue) continue;
-    const std::size_t passed = OfferAt(round, cursor) ? 0 : 1;
-    round.skipped[rank] += passed;
-    const auto next = Advance(cursor, passed, round.now);
+    if (round.skipped[rank] >= kMaxSkippedPerRank || round.failed_offers[rank] >= kMaxFailedOffersPerRank) continue;
+    if (cursor.skipped >= kMaxSkippedPerSubQueue) continue;
+    const std::size_t newly_skipped = OfferNext(round, cursor) ? 0 : 1;
+    round.skipped[rank] += newly_skipped;
+    const auto next = Advance(cursor, newly_skipped, round.now);
     if (next) round.cursors.push(*next);
   }
 }
 
-bool AdmissionQueue::OfferAt(Round& round, const Cursor& cursor) {
+bool AdmissionQueue::OfferNext(Round& round, const Cursor& cursor) {
   const auto found = cursor.queue->entries.find(cursor.age);
   if (found == cursor.queue->entries.end()) return true;
-  if (IsHopeless(round, *cursor.queue, found->second)) return false;
+  if (IsKnownNotToFit(round, *cursor.queue, found->second)) return false;
   const OfferOutcome outcome = OfferEntry(round, *cursor.queue, cursor.age);
   if (outcome == OfferOutcome::kPlaced) return true;
   ++round.failed_offers[static_cast<std::size_t>(cursor.rank)];
@@ -161,43 +162,44 @@
   const OfferOutcome outcome = round.place(task);
   // The callback may have erased the task, or pushed it again.
   const auto known = m_positions.find(id);
-  const bool is_same = known != m_positions.end() && known->second.queue == &queue && known->second.age == age;
+  const bool is_unchanged = known != m_positions.end() && known->second.queue == &queue && known->second.age == age;
   if (outcome == OfferOutcome::kPlaced) {
     ++round.report.placed;
-    if (is_same) TakeOut(Position(known->second));
+    if (is_unchanged) Extract(Position(known->second));
     return outcome;
   }
   const bool lacks_capacity = outcome == OfferOutcome::kNoCapacity || outcome == OfferOutcome::kBlockedByReservation;
   const auto rank = static_cast<std::size_t>(RankOf(queue.work_class, age.first, round.now));
   if (lacks_capacity && !std::exchange(round.is_blocked[rank], true)) round.report.blocked.push_back(id);
-  if (!is_same) return outcome;
+  if (!is_unchanged) return outcome;
   const Entry& entry = queue.entries.find(age)->second;
-  Failure failure{entry.task.spec.demand, entry.task.spec.domain, 0, queue.work_class == WorkClass::kPreview, nullptr};
-  if (outcome == OfferOutcome::kBlockedByReservation) failure.run_ms = entry.run_ms;
-  if (outcome == OfferOutcome::kRefused) failure.only = &queue;
-  Remember(round, std::move(failure));
+  FailedDemand failed_demand{entry.task.spec.demand, entry.task.spec.domain, 0, queue.work_class == WorkClass::kPreview,
+                             nullptr};
+  if (outcome == OfferOutcome::kBlockedByReservation) failed_demand.run_ms = entry.run_ms;
+  if (outcome == OfferOutcome::kRefused) failed_demand.only_queue = &queue;
+  RecordFailedDemand(round, std::move(failed_demand));
   return outcome;
 }
 
-void AdmissionQueue::Remember(Round& round, Failure failure) {
+void AdmissionQueue::RecordFailedDemand(Round& round, FailedDemand failed_demand) {
   // A smaller demand that failed makes the larger ones redundant.
-  std::erase_if(round.failures, [&failure](const Failure& other) {
-    const bool same_scope = failure.only == other.only && failure.domain == other.domain;
-    const bool covers = failure.preview >= other.preview && failure.run_ms <= other.run_ms;
-    return same_scope && covers && failure.demand.FitsIn(other.demand);
+  std::erase_if(round.failed_demands, [&failed_demand](const FailedDemand& other) {
+    const bool same_scope = failed_demand.only_queue == other.only_queue && failed_demand.domain == other.domain;
+    const bool makes_redundant = failed_demand.is_preview >= other.is_preview && failed_demand.run_ms <= other.run_ms;
+    return same_scope && makes_redundant && failed_demand.demand.FitsIn(other.demand);
   });
-  if (round.failures.size() < kMaxFailures) round.failures.push_back(std::move(failure));
+  if (round.failed_demands.size() < kMaxFailedDemands) round.failed_demands.push_back(std::move(failed_demand));
 }
 
-bool AdmissionQueue::IsHopeless(const Round& round, const SubQueue& queue, const Entry& entry) {
-  const bool preview = queue.work_class == WorkClass::kPreview;
+bool AdmissionQueue::IsKnownNotToFit(const Round& round, const SubQueue& queue, const Entry& entry) {
+  const bool is_preview = queue.work_class == WorkClass::kPreview;
   const TaskSpec& spec = entry.task.spec;
-  return std::any_of(round.failures.begin(), round.failures.end(), [&](const Failure& failure) {
-    if (failure.only != nullptr && failure.only != &queue) return false;
+  return std::any_of(round.failed_demands.begin(), round.failed_demands.end(), [&](const FailedDemand& failed_demand) {
+    if (failed_demand.only_queue != nullptr && failed_demand.only_queue != &queue) return false;
     // Previews may use capacity that is closed to other work.
-    if (preview && !failure.preview) return false;
-    if (!failure.domain.empty() && failure.domain != spec.domain) return false;
-    return entry.run_ms >= failure.run_ms / kShorter && failure.demand.FitsIn(spec.demand);
+    if (is_preview && !failed_demand.is_preview) return false;
+    if (!failed_demand.domain.empty() && failed_demand.domain != spec.domain) return false;
+    return entry.run_ms >= failed_demand.run_ms / kRunTimeDivisor && failed_demand.demand.FitsIn(spec.demand);
   });
 }
 
--- a/src/placement/admission_queue_test.cc
+++ b/src/placement/admission_queue_test.cc
@@ -69,12 +69,12 @@
     return OfferOutcome::kNoCapacity;
   });
   EXPECT_FALSE(report.blocked.empty());
-  EXPECT_LE(offers, AdmissionQueue::kMaxFailedOffers);
+  EXPECT_LE(offers, AdmissionQueue::kMaxFailedOffersPerRank);
   EXPECT_EQ(queue.size(), 20'000U);
 }
 
 /// Guards against small tasks that wait behind a large one of the same team, and a limit of one team that stops others.
-TEST(AdmissionQueueTest, BlockedTasksDoNotStopOthers) {
+TEST(AdmissionQueueTest, BlockedTasksDoNotBlockSmallerTasksOrOtherTeams) {
   FairShare shares;
   AdmissionQueue queue(shares, 100);
   WaitingTask large = Waiting("large", WorkClass::kBatch, "a", kStart);
@@ -83,14 +83,14 @@
   queue.Push(Waiting("small", WorkClass::kBatch, "a", kStart + seconds(1)));
   queue.Push(Waiting("limited", WorkClass::kBatch, "b", kStart));
   queue.Push(Waiting("other", WorkClass::kBatch, "c", kStart));
-  std::vector<std::string> taken;
+  std::vector<std::string> placed;
   const OfferReport report = queue.Offer(kStart, [&](const WaitingTask& task) {
     if (task.spec.team == TeamId("b")) return OfferOutcome::kRefused;
     if (task.spec.demand.cpu_millis > 10'000) return OfferOutcome::kNoCapacity;
-    taken.push_back(task.id.task.value());
+    placed.push_back(task.id.task.value());
     return OfferOutcome::kPlaced;
   });
-  EXPECT_EQ(taken, (std::vector<std::string>{"other", "small"}));
+  EXPECT_EQ(placed, (std::vector<std::string>{"other", "small"}));
   ASSERT_EQ(report.blocked.size(), 1U);
   EXPECT_EQ(report.blocked.front().task, TaskId("large"));
   queue.Prefer(report.blocked.front());
--- a/src/placement/backfill.cc
+++ b/src/placement/backfill.cc
@@ -7,23 +7,23 @@
 namespace {
 
 /// A reservation outlives its expected start by this much, for tasks that run a little longer than estimated.
-constexpr Duration kGrace = std::chrono::seconds(30);
+constexpr Duration kReservationGrace = std::chrono::seconds(30);
 
 /// A task that is past its expected end is taken to end after this much.
-constexpr Duration kOverdueEnd = std::chrono::seconds(1);
+constexpr Duration kOverdueRemaining = std::chrono::seconds(1);
 
 }  // namespace
 
-void Backfill::OnStart(Index worker, TaskHash task, const Resources& demand, Time expected_end) {
-  RunningOn(worker).push_back({task, expected_end, demand});
+void Backfill::OnStart(Index upstream, TaskHash task, const Resources& demand, Time expected_end) {
+  RunningOn(upstream).push_back({task, expected_end, demand});
   for (Reservation& reservation : m_reservations) {
-    const bool overlaps = reservation.worker == worker && expected_end > reservation.start;
+    const bool overlaps = reservation.upstream == upstream && expected_end > reservation.start;
     if (overlaps && reservation.task != task) reservation.spare -= demand;
   }
 }
 
-void Backfill::OnEnd(Index worker, TaskHash task, const Resources& demand) {
-  std::vector<Running>& running = RunningOn(worker);
+void Backfill::OnEnd(Index upstream, TaskHash task, const Resources& demand) {
+  std::vector<Running>& running = RunningOn(upstream);
   const auto ended = std::find_if(running.begin(), running.end(), [&](const Running& candidate) {
     return candidate.task == task && candidate.demand == demand;
   });
@@ -32,26 +32,27 @@
   *ended = running.back();
   running.pop_back();
   for (Reservation& reservation : m_reservations) {
-    const bool overlaps = reservation.worker == worker && expected_end > reservation.start;
+    const bool overlaps = reservation.upstream == upstream && expected_end > reservation.start;
     if (overlaps && reservation.task != task) reservation.spare += demand;
   }
 }
 
-void Backfill::OnRemoved(Index worker) {
-  RunningOn(worker).clear();
-  std::erase_if(m_reservations, [worker](const Reservation& reservation) { return reservation.worker == worker; });
+void Backfill::OnUpstreamRemoved(Index upstream) {
+  RunningOn(upstream).clear();
+  std::erase_if(m_reservations,
+                [upstream](const Reservation& reservation) { return reservation.upstream == upstream; });
 }
 
-std::optional<Backfill::Reservation> Backfill::Reserve(const WorkerTable& table, TaskHash task, const Resources& demand,
-                                                       std::optional<Index> domain, Time now) {
+std::optional<Backfill::Reservation> Backfill::Reserve(const UpstreamTable& table, TaskHash task,
+                                                       const Resources& demand, std::optional<Index> domain, Time now) {
   Expire(now);
   Cancel(task);
   if (m_reservations.size() >= kMaxReservations) return std::nullopt;
   std::optional<Reservation> best;
-  for (Index worker = 0; worker < table.slots(); ++worker) {
-    const WorkerTable::Row& row = table.row(worker);
-    if (row.open_slots == 0 || IsReserved(worker) || (domain && row.domain != *domain)) continue;
-    const std::optional<Reservation> found = EarliestOn(table, worker, demand, now);
+  for (Index upstream = 0; upstream < table.slots(); ++upstream) {
+    const UpstreamTable::Row& row = table.row(upstream);
+    if (row.schedulable_slots == 0 || HasReservation(upstream) || (domain && row.domain != *domain)) continue;
+    const std::optional<Reservation> found = FindEarliestStart(table, upstream, demand, now);
     if (found && (!best || found->start < best->start)) best = found;
   }
   if (!best) return std::nullopt;
@@ -68,9 +69,9 @@
   std::erase_if(m_reservations, [now](const Reservation& reservation) { return reservation.expires <= now; });
 }
 
-bool Backfill::Allows(Index worker, TaskHash task, const Resources& demand, Time expected_end, Time now) const {
+bool Backfill::Allows(Index upstream, TaskHash task, const Resources& demand, Time expected_end, Time now) const {
   for (const Reservation& reservation : m_reservations) {
-    if (reservation.worker != worker || reservation.task == task || reservation.expires <= now) continue;
+    if (reservation.upstream != upstream || reservation.task == task || reservation.expires <= now) continue;
     if (expected_end > reservation.start && !demand.FitsIn(reservation.spare)) return false;
   }
   return true;
@@ -82,39 +83,39 @@
   return bytes + m_reservations.capacity() * sizeof(Reservation);
 }
 
-std::vector<Backfill::Running>& Backfill::RunningOn(Index worker) {
-  if (worker >= m_running.size()) m_running.resize(worker + 1);
-  return m_running[worker];
+std::vector<Backfill::Running>& Backfill::RunningOn(Index upstream) {
+  if (upstream >= m_running.size()) m_running.resize(upstream + 1);
+  return m_running[upstream];
 }
 
-std::optional<Backfill::Reservation> Backfill::EarliestOn(const WorkerTable& table, Index worker,
-                                                          const Resources& demand, Time now) const {
-  if (!demand.FitsIn(table.row(worker).capacity)) return std::nullopt;
+std::optional<Backfill::Reservation> Backfill::FindEarliestStart(const UpstreamTable& table, Index upstream,
+                                                                 const Resources& demand, Time now) const {
+  if (!demand.FitsIn(table.row(upstream).capacity)) return std::nullopt;
   std::vector<Running> running;
-  if (worker < m_running.size()) running = m_running[worker];
+  if (upstream < m_running.size()) running = m_running[upstream];
   std::sort(running.begin(), running.end(), [](const Running& a, const Running& b) { return a.end < b.end; });
-  Resources free = table.open(worker);
+  Resources free = table.schedulable_free(upstream);
   Time start = now;
   std::size_t ended = 0;
   while (!demand.FitsIn(free) && ended < running.size()) {
     if (running[ended].end == Time::max()) return std::nullopt;
     free += running[ended].demand;
-    start = std::max(running[ended].end, now + kOverdueEnd);
+    start = std::max(running[ended].end, now + kOverdueRemaining);
     ++ended;
   }
   if (!demand.FitsIn(free)) return std::nullopt;
   Reservation reservation;
-  reservation.worker = worker;
+  reservation.upstream = upstream;
   reservation.start = start;
-  reservation.expires = start + kGrace;
+  reservation.expires = start + kReservationGrace;
   reservation.demand = demand;
   reservation.spare = free - demand;
   return reservation;
 }
 
-bool Backfill::IsReserved(Index worker) const {
+bool Backfill::HasReservation(Index upstream) const {
   return std::any_of(m_reservations.begin(), m_reservations.end(),
-                     [worker](const Reservation& reservation) { return reservation.worker == worker; });
+                     [upstream](const Reservation& reservation) { return reservation.upstream == upstream; });
 }
 
 }  // namespace jaymast
--- a/src/placement/backfill.h
+++ b/src/placement/backfill.h
@@ -7,7 +7,7 @@
 
 #include "base/resources.h"
 #include "base/time.h"
-#include "placement/worker_table.h"
+#include "placement/upstream_table.h"
 
 namespace jaymast {
 
@@ -17,7 +17,7 @@
 /// the capacity that the blocked task leaves.
 class Backfill {
  public:
-  using Index = WorkerTable::Index;
+  using Index = UpstreamTable::Index;
   using TaskHash = std::uint64_t;
 
   /// Most reservations at once. Each one keeps a worker from starting long tasks, so few blocked tasks get one.
@@ -25,7 +25,7 @@
 
   struct Reservation {
     TaskHash task = 0;
-    Index worker = 0;
+    Index upstream = 0;
     Time start;    ///< when the blocked task is expected to fit
     Time expires;  ///< dropped then, because the estimates were wrong or the task is gone
     Resources demand;
@@ -33,14 +33,14 @@
   };
 
   /// Records the expected end of a task that starts on a worker.
-  void OnStart(Index worker, TaskHash task, const Resources& demand, Time expected_end);
-  void OnEnd(Index worker, TaskHash task, const Resources& demand);
-  void OnRemoved(Index worker);
+  void OnStart(Index upstream, TaskHash task, const Resources& demand, Time expected_end);
+  void OnEnd(Index upstream, TaskHash task, const Resources& demand);
+  void OnUpstreamRemoved(Index upstream);
 
   /// Reserves the earliest expected start over all workers, replacing an earlier reservation of the task.
   /// @return the reservation, or nothing when no worker can hold the demand or too many tasks have a reservation
   /// Complexity: linear in workers and running tasks.
-  std::optional<Reservation> Reserve(const WorkerTable& table, TaskHash task, const Resources& demand,
+  std::optional<Reservation> Reserve(const UpstreamTable& table, TaskHash task, const Resources& demand,
                                      std::optional<Index> domain, Time now);
   void Cancel(TaskHash task);
 
@@ -48,7 +48,7 @@
   void Expire(Time now);
 
   /// Whether a task may start on the worker without delaying a reserved start there.
-  bool Allows(Index worker, TaskHash task, const Resources& demand, Time expected_end, Time now) const;
+  bool Allows(Index upstream, TaskHash task, const Resources& demand, Time expected_end, Time now) const;
 
   const std::vector<Reservation>& reservations() const { return m_reservations; }
   std::size_t MemoryBytes() const;
@@ -60,10 +60,10 @@
     Resources demand;
   };
 
-  std::vector<Running>& RunningOn(Index worker);
-  std::optional<Reservation> EarliestOn(const WorkerTable& table, Index worker, const Resources& demand,
-                                        Time now) const;
-  bool IsReserved(Index worker) const;
+  std::vector<Running>& RunningOn(Index upstream);
+  std::optional<Reservation> FindEarliestStart(const UpstreamTable& table, Index upstream, const Resources& demand,
+                                               Time now) const;
+  bool HasReservation(Index upstream) const;
 
   std::vector<std::vector<Running>> m_running;  ///< indexed by worker
   std::vector<Reservation> m_reservations;
--- a/src/placement/drain_rate.cc
+++ b/src/placement/drain_rate.cc
@@ -10,17 +10,17 @@
 /// Time constant of the decay. It covers several rounds of offers and follows a change of load within seconds.
 constexpr std::chrono::duration<double> kTimeConstant = std::chrono::seconds(10);
 
-double Kept(Duration elapsed) {
+double DecayFactor(Duration elapsed) {
   return std::exp(-std::chrono::duration<double>(std::max(elapsed, Duration::zero())) / kTimeConstant);
 }
 
 }  // namespace
 
-void DrainRate::OnTaken(std::size_t tasks, Time now) {
+void DrainRate::OnDequeued(std::size_t tasks, Time now) {
   m_rate = PerSecond(now) + static_cast<double>(tasks) / kTimeConstant.count();
   m_updated = std::max(m_updated, now);
 }
 
-double DrainRate::PerSecond(Time now) const { return m_rate * Kept(now - m_updated); }
+double DrainRate::PerSecond(Time now) const { return m_rate * DecayFactor(now - m_updated); }
 
 }  // namespace jaymast
--- a/src/placement/drain_rate.h
+++ b/src/placement/drain_rate.h
@@ -9,7 +9,7 @@
 /// Decayed rate at which tasks leave a queue.
 class DrainRate {
  public:
-  void OnTaken(std::size_t tasks, Time now);
+  void OnDequeued(std::size_t tasks, Time now);
 
   /// Tasks a second, 0 before the first one.
   double PerSecond(Time now) const;
--- a/src/placement/estimator.cc
+++ b/src/placement/estimator.cc
@@ -20,14 +20,14 @@
 
 bool Estimator::HasEnoughObservations(const TaskSpec& spec) const {
   const auto kind = m_kinds.find(KeyOf(spec));
-  return kind != m_kinds.end() && kind->second.count >= kTrusted;
+  return kind != m_kinds.end() && kind->second.count >= kMinObservations;
 }
 
 Estimate Estimator::EstimateFor(const TaskSpec& spec) const {
   const auto known = m_kinds.find(KeyOf(spec));
   if (known == m_kinds.end()) return {spec.declared_run_ms, spec.demand};
   const Kind& kind = known->second;
-  if (kind.count < kTrusted) return Quantiles(kind, spec, kPriorWeight);
+  if (kind.count < kMinObservations) return Quantiles(kind, spec, kPriorWeight);
   Estimate estimate = kind.learned;
   estimate.size.accelerators = spec.demand.accelerators;
   estimate.size.slots = spec.demand.slots;
@@ -69,16 +69,16 @@
 Estimator::Kind& Estimator::Touch(const std::string& key) {
   const auto known = m_kinds.find(key);
   if (known != m_kinds.end()) {
-    m_ages.splice(m_ages.begin(), m_ages, known->second.age);
+    m_lru.splice(m_lru.begin(), m_lru, known->second.lru_position);
     return known->second;
   }
   if (m_kinds.size() >= kMaxKinds) {
-    m_kinds.erase(m_ages.back());
-    m_ages.pop_back();
+    m_kinds.erase(m_lru.back());
+    m_lru.pop_back();
   }
-  m_ages.push_front(key);
+  m_lru.push_front(key);
   Kind& kind = m_kinds[key];
-  kind.age = m_ages.begin();
+  kind.lru_position = m_lru.begin();
   return kind;
 }
 
--- a/src/placement/estimator.h
+++ b/src/placement/estimator.h
@@ -30,7 +30,7 @@
   static constexpr std::size_t kPriorWeight = 4;
 
   /// Number of observations from which the declared values no longer count. A 90th percentile needs at least 10.
-  static constexpr std::size_t kTrusted = 10;
+  static constexpr std::size_t kMinObservations = 10;
 
   /// Most kinds remembered over all teams. The kind without a result for the longest time is forgotten first.
   static constexpr std::size_t kMaxKinds = 4096;
@@ -55,7 +55,7 @@
     std::size_t count = 0;  ///< observations in the window
     std::size_t next = 0;   ///< position that the next observation overwrites
     Estimate learned;       ///< quantiles over the window alone
-    std::list<std::string>::iterator age;
+    std::list<std::string>::iterator lru_position;
   };
 
   static std::string KeyOf(const TaskSpec& spec);
@@ -65,7 +65,7 @@
   Kind& Touch(const std::string& key);
 
   std::unordered_map<std::string, Kind> m_kinds;
-  std::list<std::string> m_ages;  ///< keys, the one with the latest result first
+  std::list<std::string> m_lru;  ///< keys, the one with the latest result first
 };
 
 }  // namespace jaymast
--- a/src/placement/failure_attribution.h
+++ b/src/placement/failure_attribution.h
@@ -21,23 +21,23 @@
 class FailureAttribution {
  public:
   /// Results remembered for each worker.
-  static constexpr std::size_t kWorkerWindow = 8;
+  static constexpr std::size_t kUpstreamWindow = 8;
 
   /// Results remembered for each team and kind of work.
   static constexpr std::size_t kKindWindow = 32;
 
   /// Different jobs that must fail on a worker, and succeed elsewhere, before it is quarantined. Fewer would punish a
   /// worker for jobs that fail now and then.
-  static constexpr std::size_t kWorkerFailures = 3;
+  static constexpr std::size_t kFailedJobsForQuarantine = 3;
 
   /// Good workers on which a job must fail before it is marked as bad.
-  static constexpr std::size_t kJobFailures = 3;
+  static constexpr std::size_t kReliableUpstreamsForFaultyJob = 3;
 
   /// Workers on which a job must fail before it is marked as bad although none of them is known to be good.
-  static constexpr std::size_t kJobFailuresAnywhere = 6;
+  static constexpr std::size_t kUpstreamsForFaultyJob = 6;
 
-  static constexpr Duration kFirstQuarantine = std::chrono::seconds(10);
-  static constexpr Duration kLongestQuarantine = std::chrono::minutes(10);
+  static constexpr Duration kInitialQuarantine = std::chrono::seconds(10);
+  static constexpr Duration kMaxQuarantine = std::chrono::minutes(10);
 
   /// A probe without a result by then does not keep the next probe from starting.
   static constexpr Duration kProbeTimeout = std::chrono::minutes(5);
@@ -61,28 +61,28 @@
   /// Whether the job failed on enough good workers to be failed for good.
   bool IsFaultyJob(const TaskId& task) const;
 
-  void RemoveUpstream(const UpstreamId& upstream) { m_workers.erase(upstream); }
+  void RemoveUpstream(const UpstreamId& upstream) { m_histories.erase(upstream); }
 
   std::size_t MemoryBytes() const;
 
  private:
   using Hash = std::uint64_t;
 
-  struct WorkerResult {
+  struct UpstreamResult {
     Hash job = 0;
     Hash kind = 0;
     bool succeeded = false;
   };
-  struct Worker {
-    std::deque<WorkerResult> results;
+  struct UpstreamHistory {
+    std::deque<UpstreamResult> results;
     std::optional<Time> quarantined_until;
     std::optional<Time> probe_until;  ///< set while a probe runs
-    int strikes = 0;                  ///< quarantines in a row
+    int consecutive_quarantines = 0;  ///< quarantines in a row
   };
   struct Job {
     std::vector<UpstreamId> failed_on;
     bool succeeded = false;
-    bool bad = false;
+    bool is_faulty = false;
   };
   struct KindResult {
     Hash upstream = 0;
@@ -92,21 +92,21 @@
     std::deque<KindResult> results;
   };
 
-  void RecordWorker(Worker& worker, const WorkerResult& result, Time now);
-  void RecordKind(Hash kind, Hash upstream, bool succeeded);
+  void RecordUpstreamResult(UpstreamHistory& history, const UpstreamResult& result, Time now);
+  void RecordKindResult(Hash kind, Hash upstream, bool succeeded);
   void OnJobSucceeded(Hash job, Time now);
   void OnJobFailed(Hash job, const UpstreamId& upstream);
-  void JudgeWorker(const UpstreamId& upstream, Time now);
-  void Quarantine(Worker& worker, Time now);
-  bool IsBlamed(const UpstreamId& upstream, const WorkerResult& result) const;
+  void EvaluateUpstream(const UpstreamId& upstream, Time now);
+  void Quarantine(UpstreamHistory& history, Time now);
+  bool IsUpstreamAtFault(const UpstreamId& upstream, const UpstreamResult& result) const;
   bool SucceedsElsewhere(Hash kind, Hash upstream) const;
-  bool IsGoodWorker(const UpstreamId& upstream, Hash excluded_job) const;
+  bool IsReliable(const UpstreamId& upstream, Hash excluded_job) const;
 
-  std::unordered_map<UpstreamId, Worker> m_workers;
+  std::unordered_map<UpstreamId, UpstreamHistory> m_histories;
   std::unordered_map<Hash, Job> m_jobs;  ///< jobs that failed at least once
-  std::deque<Hash> m_job_ages;
+  std::deque<Hash> m_jobs_by_age;
   std::unordered_map<Hash, Kind> m_kinds;
-  std::deque<Hash> m_kind_ages;
+  std::deque<Hash> m_kinds_by_age;
 };
 
 }  // namespace jaymast
--- a/src/placement/fair_share.cc
+++ b/src/placement/fair_share.cc
@@ -9,7 +9,7 @@
 namespace {
 
 /// The score looks this far ahead. It weighs the present usage against the decayed usage of the past.
-constexpr Duration kHorizon = std::chrono::seconds(60);
+constexpr Duration kScoreHorizon = std::chrono::seconds(60);
 
 /// A team with share 0 is served after all others.
 constexpr double kMinWeight = 1e-6;
@@ -35,19 +35,19 @@
 
 void FairShare::AddUsage(const TeamId& team, const Resources& used, Time now) {
   Usage& usage = m_usage[team];
-  Advance(usage, now);
+  DecayTo(usage, now);
   usage.declared += used;
 }
 
 void FairShare::RemoveUsage(const TeamId& team, const Resources& used, Time now) {
   Usage& usage = m_usage[team];
-  Advance(usage, now);
+  DecayTo(usage, now);
   usage.declared -= used;
 }
 
 void FairShare::ReportUsage(const TeamId& team, const Resources& used, Time now) {
   Usage& usage = m_usage[team];
-  Advance(usage, now);
+  DecayTo(usage, now);
   const Amounts reported = ToAmounts(used);
   const Amounts declared = ToAmounts(usage.declared);
   for (std::size_t i = 0; i < reported.size(); ++i) {
@@ -59,11 +59,11 @@
   const auto known = m_usage.find(team);
   if (known == m_usage.end()) return 0.0;
   const Usage& usage = known->second;
-  const Amounts current = Current(usage);
-  const double kept = DecayFactor(now - usage.updated + kHorizon);
+  const Amounts current = CurrentUsage(usage);
+  const double decay = DecayFactor(now - usage.updated + kScoreHorizon);
   Amounts expected{};
-  for (std::size_t i = 0; i < expected.size(); ++i) expected[i] = usage.decayed[i] * kept + current[i] * (1.0 - kept);
-  return Dominant(expected) / usage.weight;
+  for (std::size_t i = 0; i < expected.size(); ++i) expected[i] = usage.decayed[i] * decay + current[i] * (1.0 - decay);
+  return DominantShare(expected) / usage.weight;
 }
 
 Resources FairShare::Used(const TeamId& team) const {
@@ -72,14 +72,14 @@
 }
 
 std::map<TeamId, Entitlement> FairShare::ComputeEntitlements(const std::map<TeamId, Resources>& demand) const {
-  std::vector<ProgressiveFilling::Claim> claims;
-  claims.reserve(demand.size());
-  for (const auto& [team, wanted] : demand) claims.push_back({WeightOf(team), ToAmounts(wanted)});
-  const std::vector<double> shares = ProgressiveFilling(ToAmounts(m_capacity)).Fill(claims);
+  std::vector<ProgressiveFilling::Participant> participants;
+  participants.reserve(demand.size());
+  for (const auto& [team, wanted] : demand) participants.push_back({WeightOf(team), ToAmounts(wanted)});
+  const std::vector<double> shares = ProgressiveFilling(ToAmounts(m_capacity)).Fill(participants);
   std::map<TeamId, Entitlement> entitled;
   std::size_t index = 0;
   for (const auto& [team, wanted] : demand) {
-    const double dominant = DominantOf(wanted);
+    const double dominant = DominantShareOf(wanted);
     const double part = dominant > 0 ? std::min(shares[index] / dominant, 1.0) : 0.0;
     const auto scaled = [part](std::int64_t amount) {
       return static_cast<std::int64_t>(std::floor(static_cast<double>(amount) * part));
@@ -102,18 +102,18 @@
   return known == m_usage.end() ? 1.0 : known->second.weight;
 }
 
-FairShare::Amounts FairShare::Current(const Usage& usage) const {
+FairShare::Amounts FairShare::CurrentUsage(const Usage& usage) const {
   Amounts current = ToAmounts(usage.declared);
   for (std::size_t i = 0; i < current.size(); ++i) current[i] *= usage.ratio[i];
   return current;
 }
 
-void FairShare::Advance(Usage& usage, Time now) const {
+void FairShare::DecayTo(Usage& usage, Time now) const {
   if (now <= usage.updated) return;
-  const double kept = DecayFactor(now - usage.updated);
-  const Amounts current = Current(usage);
+  const double decay = DecayFactor(now - usage.updated);
+  const Amounts current = CurrentUsage(usage);
   for (std::size_t i = 0; i < current.size(); ++i) {
-    usage.decayed[i] = usage.decayed[i] * kept + current[i] * (1.0 - kept);
+    usage.decayed[i] = usage.decayed[i] * decay + current[i] * (1.0 - decay);
   }
   usage.updated = now;
 }
@@ -122,12 +122,12 @@
   return std::exp2(-static_cast<double>(elapsed.count()) / m_half_life_us);
 }
 
-double FairShare::Dominant(const Amounts& amounts) const {
+double FairShare::DominantShare(const Amounts& amounts) const {
   double dominant = 0;
   for (std::size_t i = 0; i < amounts.size(); ++i) dominant = std::max(dominant, amounts[i] * m_inverse_capacity[i]);
   return dominant;
 }
 
-double FairShare::DominantOf(const Resources& amounts) const { return Dominant(ToAmounts(amounts)); }
+double FairShare::DominantShareOf(const Resources& amounts) const { return DominantShare(ToAmounts(amounts)); }
 
 }  // namespace jaymast
--- a/src/placement/fair_share.h
+++ b/src/placement/fair_share.h
@@ -79,14 +79,14 @@
   };
 
   double WeightOf(const TeamId& team) const;
-  Amounts Current(const Usage& usage) const;
-  void Advance(Usage& usage, Time now) const;
+  Amounts CurrentUsage(const Usage& usage) const;
+  void DecayTo(Usage& usage, Time now) const;
   double DecayFactor(Duration elapsed) const;
-  double Dominant(const Amounts& amounts) const;
-  double DominantOf(const Resources& amounts) const;
+  double DominantShare(const Amounts& amounts) const;
+  double DominantShareOf(const Resources& amounts) const;
   bool IsEntitled(const PreemptionRequest& request) const;
-  VictimSet VictimsOn(const PreemptionRequest& request, const Resources& free,
-                      const std::vector<const PreemptionCandidate*>& candidates) const;
+  VictimSet ChooseVictimsOn(const PreemptionRequest& request, const Resources& free,
+                            const std::vector<const PreemptionCandidate*>& candidates) const;
 
   double m_half_life_us;
   Amounts m_inverse_capacity{};
--- a/src/placement/fair_share_test.cc
+++ b/src/placement/fair_share_test.cc
@@ -40,7 +40,7 @@
   }
 }
 
-TEST(FairShareTest, EntitledSharesFollowWeightsAndLendIdleShare) {
+TEST(FairShareTest, EntitledSharesFollowWeightsAndRedistributeUnusedShare) {
   FairShare shares;
   shares.SetCapacity({0, 0, 0, 100});
   shares.SetWeight(Team(0), 1);
--- a/src/placement/fair_share_victims.cc
+++ b/src/placement/fair_share_victims.cc
@@ -10,7 +10,7 @@
 /// Tolerance for shares, which are sums of floating-point steps.
 constexpr double kTolerance = 1e-9;
 
-double EntitledTo(const PreemptionRequest& request, const TeamId& team) {
+double EntitledShareOf(const PreemptionRequest& request, const TeamId& team) {
   const auto entitled = request.entitled.find(team);
   return entitled == request.entitled.end() ? 0.0 : entitled->second.dominant_share;
 }
@@ -43,7 +43,7 @@
     std::stable_sort(local.begin(), local.end(), [](const PreemptionCandidate* a, const PreemptionCandidate* b) {
       return a->checkpoint_ms < b->checkpoint_ms;
     });
-    VictimSet found = VictimsOn(request, free->second, local);
+    VictimSet found = ChooseVictimsOn(request, free->second, local);
     if (found.victims.empty()) continue;
     if (best.victims.empty() || found.cost_ms < best.cost_ms) best = std::move(found);
   }
@@ -54,12 +54,12 @@
 }
 
 bool FairShare::IsEntitled(const PreemptionRequest& request) const {
-  const double wanted = DominantOf(Used(request.team) + request.demand);
-  return wanted <= EntitledTo(request, request.team) + kTolerance;
+  const double wanted = DominantShareOf(Used(request.team) + request.demand);
+  return wanted <= EntitledShareOf(request, request.team) + kTolerance;
 }
 
-FairShare::VictimSet FairShare::VictimsOn(const PreemptionRequest& request, const Resources& free,
-                                          const std::vector<const PreemptionCandidate*>& candidates) const {
+FairShare::VictimSet FairShare::ChooseVictimsOn(const PreemptionRequest& request, const Resources& free,
+                                                const std::vector<const PreemptionCandidate*>& candidates) const {
   VictimSet set;
   Resources freed = free;
   std::map<TeamId, Resources> used;
@@ -67,7 +67,7 @@
     if (request.demand.FitsIn(freed)) break;
     Resources& team_used = used.try_emplace(candidate->team, Used(candidate->team)).first->second;
     const Resources without = team_used - candidate->used;
-    if (DominantOf(without) + kTolerance < EntitledTo(request, candidate->team)) continue;
+    if (DominantShareOf(without) + kTolerance < EntitledShareOf(request, candidate->team)) continue;
     team_used = without;
     freed += candidate->used;
     set.victims.push_back(candidate);
--- a/src/placement/placement_benchmark.cc
+++ b/src/placement/placement_benchmark.cc
@@ -27,10 +27,10 @@
   return spec;
 }
 
-void AddWorkers(Placer& placer, int workers) {
-  for (int i = 0; i < workers; ++i) {
-    placer.PutUpstream(TestWorker(i));
-    placer.SetEligible(TestWorker(i).id, true);
+void AddUpstreams(Placer& placer, int upstreams) {
+  for (int i = 0; i < upstreams; ++i) {
+    placer.PutUpstream(TestUpstream(i));
+    placer.SetEligible(TestUpstream(i).id, true);
   }
 }
 
@@ -38,7 +38,7 @@
 void Decision(benchmark::State& state) {
   std::mt19937_64 random(1);
   Placer placer(1);
-  AddWorkers(placer, static_cast<int>(state.range(0)));
+  AddUpstreams(placer, static_cast<int>(state.range(0)));
   std::vector<TaskSpec> specs;
   for (std::uint64_t i = 0; i < 4'096; ++i) specs.push_back(RandomTask(random, i));
   std::vector<std::pair<UpstreamId, const TaskSpec*>> running;
--- a/src/placement/placement_score.cc
+++ b/src/placement/placement_score.cc
@@ -12,16 +12,16 @@
 namespace jaymast {
 namespace {
 
-constexpr std::size_t kKinds = WorkerTable::kResourceKinds;
+constexpr std::size_t kKinds = UpstreamTable::kResourceKinds;
 
 /// Workers scored for one decision by policies that compare.
-constexpr std::size_t kSample = 16;
+constexpr std::size_t kDefaultSampleSize = 16;
 
 /// Workers scored for a replica of a service. A smaller sample covers two racks of eight workers only.
-constexpr std::size_t kSpreadSample = 32;
+constexpr std::size_t kSpreadSampleSize = 32;
 
 /// Workers scored for a preview, which needs a lightly loaded worker and not the best one.
-constexpr std::size_t kPreviewSample = 8;
+constexpr std::size_t kPreviewSampleSize = 8;
 
 /// Keeps tasks without accelerators away from workers with accelerators while others have room.
 constexpr double kAcceleratorPenalty = 1.0;
@@ -29,15 +29,15 @@
 /// One replica more in the rack outweighs any alignment, which is at most 1.
 constexpr double kRackWeight = 4.0;
 
-constexpr std::array<std::string_view, kKinds> kPaths = {"/demand/cpu_millis", "/demand/memory_mb",
-                                                         "/demand/accelerators", "/demand/slots"};
+constexpr std::array<std::string_view, kKinds> kDemandPaths = {"/demand/cpu_millis", "/demand/memory_mb",
+                                                               "/demand/accelerators", "/demand/slots"};
 
 std::array<std::int64_t, kKinds> Amounts(const Resources& resources) {
   return {resources.cpu_millis, resources.memory_mb, resources.accelerators, resources.slots};
 }
 
 /// Alignment of demand and free capacity, as the square of their cosine, less the part of the worker left free.
-double Alignment(const WorkerTable::Row& row, const Resources& free, const Resources& demand) {
+double Alignment(const UpstreamTable::Row& row, const Resources& free, const Resources& demand) {
   const auto free_amounts = Amounts(free);
   const auto demand_amounts = Amounts(demand);
   double dot = 0;
@@ -58,7 +58,7 @@
   return cosine_square - left / kKinds - (wastes_accelerators ? kAcceleratorPenalty : 0.0);
 }
 
-std::int64_t MostOf(std::size_t kind, const std::vector<Resources>& capacities) {
+std::int64_t MaxAmount(std::size_t kind, const std::vector<Resources>& capacities) {
   std::int64_t most = 0;
   for (const Resources& capacity : capacities) most = std::max(most, Amounts(capacity)[kind]);
   return most;
@@ -70,7 +70,7 @@
   std::optional<std::size_t> binding;
   double worst = 1;
   for (std::size_t kind = 0; kind < kKinds; ++kind) {
-    const auto most = static_cast<double>(MostOf(kind, capacities));
+    const auto most = static_cast<double>(MaxAmount(kind, capacities));
     const double excess = static_cast<double>(wanted[kind]) / std::max(most, 0.5);
     if (excess <= worst) continue;
     worst = excess;
@@ -88,8 +88,8 @@
   return true;
 }
 
-Error ImpossibleAt(std::size_t kind, std::int64_t most) {
-  return {ErrorId::kDemandImpossible, std::string(kPaths.at(kind)),
+Error ImpossibleDemandError(std::size_t kind, std::int64_t most) {
+  return {ErrorId::kDemandImpossible, std::string(kDemandPaths.at(kind)),
           fmt::format("upstreams that could hold the rest of the demand have at most {}", most)};
 }
 
@@ -98,7 +98,7 @@
 double PlacementScore::operator()(const BestFitPolicy& /*policy*/) const { return Alignment(row, free, spec.demand); }
 
 double PlacementScore::operator()(const SpreadPolicy& /*policy*/) const {
-  const std::int32_t replicas = spread.InRack(SpreadCounts::KeyOf(spec), row.rack);
+  const std::int32_t replicas = replica_counts.InRack(ReplicaCounts::KeyOf(spec), row.rack);
   return Alignment(row, free, spec.demand) - kRackWeight * static_cast<double>(replicas);
 }
 
@@ -109,7 +109,7 @@
 }
 
 double PlacementScore::operator()(const GangPolicy& /*policy*/) const {
-  const std::int64_t copies = CopiesIn(free, spec.demand, std::max<std::int64_t>(spec.gang_size, 1));
+  const std::int64_t copies = CountFitting(free, spec.demand, std::max<std::int64_t>(spec.gang_size, 1));
   return static_cast<double>(copies) + Alignment(row, free, spec.demand);
 }
 
@@ -121,28 +121,28 @@
 
 std::size_t SampleLimit(const PlacementPolicy& policy) {
   struct Visitor {
-    std::size_t operator()(const BestFitPolicy&) const { return kSample; }
-    std::size_t operator()(const SpreadPolicy&) const { return kSpreadSample; }
-    std::size_t operator()(const HeadroomPolicy&) const { return kPreviewSample; }
-    std::size_t operator()(const GangPolicy&) const { return kSample; }
+    std::size_t operator()(const BestFitPolicy&) const { return kDefaultSampleSize; }
+    std::size_t operator()(const SpreadPolicy&) const { return kSpreadSampleSize; }
+    std::size_t operator()(const HeadroomPolicy&) const { return kPreviewSampleSize; }
+    std::size_t operator()(const GangPolicy&) const { return kDefaultSampleSize; }
     std::size_t operator()(const FirstFitPolicy&) const { return 1; }
-    std::size_t operator()(const RandomPolicy&) const { return kSample; }
+    std::size_t operator()(const RandomPolicy&) const { return kDefaultSampleSize; }
     std::size_t operator()(const StrictPriorityPolicy&) const { return 1; }
   };
   return std::visit(Visitor{}, policy);
 }
 
-bool StartsAtRandom(const PlacementPolicy& policy) {
+bool StartsAtRandomGroup(const PlacementPolicy& policy) {
   return std::holds_alternative<HeadroomPolicy>(policy) || std::holds_alternative<RandomPolicy>(policy) ||
          std::holds_alternative<SpreadPolicy>(policy);
 }
 
-Resources NotNegative(const Resources& amount) {
+Resources ClampToZero(const Resources& amount) {
   return {std::max<std::int64_t>(amount.cpu_millis, 0), std::max<std::int64_t>(amount.memory_mb, 0),
           std::max<std::int64_t>(amount.accelerators, 0), std::max<std::int64_t>(amount.slots, 0)};
 }
 
-std::int64_t CopiesIn(const Resources& free, const Resources& demand, std::int64_t most) {
+std::int64_t CountFitting(const Resources& free, const Resources& demand, std::int64_t most) {
   const auto free_amounts = Amounts(free);
   const auto demand_amounts = Amounts(demand);
   for (std::size_t kind = 0; kind < kKinds; ++kind) {
@@ -153,14 +153,14 @@
 
 Error BindingConstraint(const Resources& demand, const std::vector<Resources>& capacities) {
   const std::optional<std::size_t> largest_excess = LargestExcess(demand, capacities);
-  if (largest_excess) return ImpossibleAt(*largest_excess, MostOf(*largest_excess, capacities));
+  if (largest_excess) return ImpossibleDemandError(*largest_excess, MaxAmount(*largest_excess, capacities));
   // Each amount fits somewhere. Names the resource without which an upstream would hold the demand.
   for (std::size_t kind = 0; kind < kKinds; ++kind) {
     std::vector<Resources> holding_rest;
     for (const Resources& capacity : capacities) {
       if (HoldsAllBut(kind, demand, capacity)) holding_rest.push_back(capacity);
     }
-    if (!holding_rest.empty()) return ImpossibleAt(kind, MostOf(kind, holding_rest));
+    if (!holding_rest.empty()) return ImpossibleDemandError(kind, MaxAmount(kind, holding_rest));
   }
   return {ErrorId::kDemandImpossible, "/demand", "no upstream has this combination of resources"};
 }
--- a/src/placement/placement_score.h
+++ b/src/placement/placement_score.h
@@ -9,17 +9,17 @@
 #include "base/resources.h"
 #include "model/task_spec.h"
 #include "placement/placement_policy.h"
-#include "placement/spread_counts.h"
-#include "placement/worker_table.h"
+#include "placement/replica_counts.h"
+#include "placement/upstream_table.h"
 
 namespace jaymast {
 
 /// Visitor that scores a worker with room for a task under each policy. The highest score wins.
 struct PlacementScore {
   const TaskSpec& spec;
-  const WorkerTable::Row& row;
+  const UpstreamTable::Row& row;
   const Resources& free;
-  const SpreadCounts& spread;
+  const ReplicaCounts& replica_counts;
   std::mt19937_64& random;
 
   double operator()(const BestFitPolicy& policy) const;
@@ -36,13 +36,13 @@
 
 /// Whether the search starts at a random group. Packing policies start at the first group, which keeps later groups
 /// free for large tasks.
-bool StartsAtRandom(const PlacementPolicy& policy);
+bool StartsAtRandomGroup(const PlacementPolicy& policy);
 
 /// The amounts with those below zero raised to zero.
-Resources NotNegative(const Resources& amount);
+Resources ClampToZero(const Resources& amount);
 
 /// Number of tasks of the same demand that fit into free capacity, up to a bound.
-std::int64_t CopiesIn(const Resources& free, const Resources& demand, std::int64_t most);
+std::int64_t CountFitting(const Resources& free, const Resources& demand, std::int64_t most);
 
 /// Error that names the resource which excludes a demand from all the given capacities.
 /// @param capacities capacities of workers, not empty, none of which holds the demand
--- a/src/placement/placer.h
+++ b/src/placement/placer.h
@@ -17,9 +17,9 @@
 #include "model/upstream_info.h"
 #include "placement/backfill.h"
 #include "placement/placement_policy.h"
-#include "placement/spread_counts.h"
-#include "placement/start_ramp.h"
-#include "placement/worker_table.h"
+#include "placement/replica_counts.h"
+#include "placement/start_rate_limiter.h"
+#include "placement/upstream_table.h"
 
 namespace jaymast {
 
@@ -41,7 +41,7 @@
   /// Sets the capacity that work other than previews leaves free.
   /// @param slots_permille reserved previews in thousandths of the slots of the eligible upstreams
   /// @param unit demand of one preview
-  void SetHeadroom(std::int64_t slots_permille, const Resources& unit);
+  void SetHeadroom(std::int64_t slots_permille, const Resources& preview_demand);
 
   /// Uses learned run times for backfill in place of declared ones. The estimator must outlive the placer.
   void SetEstimator(const Estimator* estimator) { m_estimator = estimator; }
@@ -89,13 +89,13 @@
   std::int64_t ReservedPreviews() const;
 
   /// Previews that fit into the eligible upstreams at present.
-  std::int64_t FreePreviews() const { return m_table.open_units(); }
+  std::int64_t FreePreviews() const { return m_table.total_free_previews(); }
 
   /// Approximate size of the state in bytes.
   std::size_t MemoryBytes() const;
 
  private:
-  using Index = WorkerTable::Index;
+  using Index = UpstreamTable::Index;
 
   struct Query {
     const TaskSpec& spec;
@@ -111,9 +111,9 @@
 
   /// Candidates found so far.
   struct Sample {
-    std::size_t taken = 0;
-    std::size_t excluded = 0;        ///< workers with room that the headroom excludes
-    bool meets_reservation = false;  ///< a worker with room has a reserved start that the task would delay
+    std::size_t scored = 0;
+    std::size_t excluded_by_headroom = 0;     ///< workers with room that the headroom excludes
+    bool conflicts_with_reservation = false;  ///< a worker with room has a reserved start that the task would delay
     std::optional<Index> best;
     double best_score = 0;
   };
@@ -124,24 +124,24 @@
   void SearchDomains(const Query& query, Sample& sample);
   void Search(const Query& query, Sample& sample);
   Index FirstGroup(const Query& query);
-  bool GroupMayFit(const WorkerTable::Group& group, const Query& query) const;
+  bool GroupMayFit(const UpstreamTable::Group& group, const Query& query) const;
   void VisitGroup(Index group, const Query& query, std::size_t limit, Sample& sample);
-  bool LeavesReservedStart(Index index, const Query& query) const;
-  bool LeavesHeadroom(Index index, const Query& query) const;
+  bool RespectsReservedStart(Index index, const Query& query) const;
+  bool RespectsHeadroom(Index index, const Query& query) const;
   double Score(Index index, const Query& query);
-  void Hold(Index index, const TaskSpec& spec, Time now);
-  void Unhold(Index index, const TaskSpec& spec);
-  Error Explain(const Query& query, const Sample& sample) const;
-  Error ExplainGang(const std::vector<TaskSpec>& members, const Query& failed, const Sample& sample) const;
-  std::optional<Error> Impossible(const Query& query) const;
+  void AllocateOn(Index index, const TaskSpec& spec, Time now);
+  void FreeOn(Index index, const TaskSpec& spec);
+  Error ExplainFailure(const Query& query, const Sample& sample) const;
+  Error ExplainGangFailure(const std::vector<TaskSpec>& members, const Query& failed, const Sample& sample) const;
+  std::optional<Error> FindImpossibleConstraint(const Query& query) const;
   Time ExpectedEnd(const TaskSpec& spec, Time now) const;
 
   std::mt19937_64 m_random;
   std::array<PlacementPolicy, EnumNames<WorkClass>::kNames.size()> m_policies;
-  WorkerTable m_table;
+  UpstreamTable m_table;
   Backfill m_backfill;
-  SpreadCounts m_spread;
-  StartRamp m_ramp;
+  ReplicaCounts m_replica_counts;
+  StartRateLimiter m_start_limiter;
   const Estimator* m_estimator = nullptr;
   Index m_resume_group = 0;  ///< where the next search starts, after one gave up at the headroom
   std::int64_t m_headroom_permille = kDefaultHeadroomPermille;
--- a/src/placement/placer_test.cc
+++ b/src/placement/placer_test.cc
@@ -17,10 +17,10 @@
 constexpr Time kStart = TimeFromMicros(1'000'000);
 constexpr Resources kSmall{1'000, 1'024, 0, 1};
 
-void AddWorkers(Placer& placer, int count) {
+void AddUpstreams(Placer& placer, int count) {
   for (int i = 0; i < count; ++i) {
-    placer.PutUpstream(TestWorker(i));
-    placer.SetEligible(TestWorker(i).id, true);
+    placer.PutUpstream(TestUpstream(i));
+    placer.SetEligible(TestUpstream(i).id, true);
   }
 }
 
@@ -38,25 +38,25 @@
   for (const char* policy : {"best-fit", "spread", "headroom", "gang", "first-fit", "random", "strict-priority"}) {
     Placer placer(7);
     placer.SetPolicies({{WorkClass::kBatch, policy}, {WorkClass::kService, policy}});
-    constexpr int kWorkers = 40;
-    AddWorkers(placer, kWorkers);
+    constexpr int kUpstreams = 40;
+    AddUpstreams(placer, kUpstreams);
     std::mt19937_64 random(11);
-    std::set<UpstreamId> out;
+    std::set<UpstreamId> ineligible;
     std::vector<std::pair<UpstreamId, TaskSpec>> running;
     int placed = 0;
     for (int step = 0; step < 3'000; ++step) {
-      const UpstreamId flipped = TestWorker(static_cast<int>(random() % kWorkers)).id;
+      const UpstreamId flipped = TestUpstream(static_cast<int>(random() % kUpstreams)).id;
       const bool eligible = random() % 4 != 0;
       placer.SetEligible(flipped, eligible);
-      eligible ? out.erase(flipped) : out.insert(flipped).second;
+      eligible ? ineligible.erase(flipped) : ineligible.insert(flipped).second;
       const Resources demand{static_cast<std::int64_t>(random() % 9'000), static_cast<std::int64_t>(random() % 50'000),
                              0, 1};
       const auto work_class = random() % 2 == 0 ? WorkClass::kBatch : WorkClass::kService;
       const TaskSpec spec = TestTask("t" + std::to_string(step), work_class, demand);
       if (const auto chosen = placer.Choose(spec, kStart)) {
-        ASSERT_FALSE(out.contains(*chosen)) << policy;
+        ASSERT_FALSE(ineligible.contains(*chosen)) << policy;
         placer.Reserve(*chosen, spec, kStart);
-        ASSERT_TRUE(placer.Used(*chosen).FitsIn(TestWorker(0).capacity)) << policy;
+        ASSERT_TRUE(placer.Used(*chosen).FitsIn(TestUpstream(0).capacity)) << policy;
         running.emplace_back(*chosen, spec);
         ++placed;
       }
@@ -68,42 +68,42 @@
     }
     EXPECT_GT(placed, 300) << policy;
     for (const auto& [id, spec] : running) placer.Release(id, spec, kStart);
-    for (int i = 0; i < kWorkers; ++i) EXPECT_EQ(placer.Used(TestWorker(i).id), Resources{});
+    for (int i = 0; i < kUpstreams; ++i) EXPECT_EQ(placer.Used(TestUpstream(i).id), Resources{});
   }
 }
 
 /// Guards against a search that gives up while a worker with room exists.
-TEST(PlacerTest, FindsTheOnlyWorkerWithRoom) {
+TEST(PlacerTest, FindsTheOnlyUpstreamWithFreeCapacity) {
   Placer placer(1);
   placer.SetHeadroom(0, kSmall);
-  AddWorkers(placer, 200);
-  const TaskSpec whole = TestTask("whole", WorkClass::kBatch, TestWorker(0).capacity);
+  AddUpstreams(placer, 200);
+  const TaskSpec whole = TestTask("whole", WorkClass::kBatch, TestUpstream(0).capacity);
   EXPECT_EQ(Fill(placer, whole), 200);
-  placer.Release(TestWorker(137).id, whole, kStart);
+  placer.Release(TestUpstream(137).id, whole, kStart);
   const auto chosen = placer.Choose(whole, kStart);
   ASSERT_TRUE(chosen);
-  EXPECT_EQ(*chosen, TestWorker(137).id);
+  EXPECT_EQ(*chosen, TestUpstream(137).id);
 }
 
 /// Guards against work of other classes that takes the slots reserved for previews.
-TEST(PlacerTest, OtherClassesLeaveTheHeadroomToPreviews) {
+TEST(PlacerTest, HeadroomIsKeptFreeForPreviews) {
   Placer placer(1);
-  const Resources unit{2'000, 2'048, 0, 1};
-  placer.SetHeadroom(100, unit);
-  AddWorkers(placer, 30);
+  const Resources preview_demand{2'000, 2'048, 0, 1};
+  placer.SetHeadroom(100, preview_demand);
+  AddUpstreams(placer, 30);
   EXPECT_EQ(placer.ReservedPreviews(), 24);
   Fill(placer, TestTask("b", WorkClass::kBatch, {4'000, 4'096, 0, 1}));
   Fill(placer, TestTask("s", WorkClass::kService, kSmall));
   Fill(placer, TestTask("u", WorkClass::kUrgent, kSmall));
   EXPECT_GE(placer.FreePreviews(), 24);
-  EXPECT_GE(Fill(placer, TestTask("p", WorkClass::kPreview, unit)), 24);
+  EXPECT_GE(Fill(placer, TestTask("p", WorkClass::kPreview, preview_demand)), 24);
   EXPECT_EQ(placer.FreePreviews(), 0);
 }
 
 TEST(PlacerTest, ImpossibleDemandNamesTheBindingConstraint) {
   Placer placer(1);
-  AddWorkers(placer, 3);
-  UpstreamInfo accelerated = TestWorker(9);
+  AddUpstreams(placer, 3);
+  UpstreamInfo accelerated = TestUpstream(9);
   accelerated.capacity = {16'000, 65'536, 2, 8};
   placer.PutUpstream(accelerated);
   const auto path = [&](const Resources& demand) {
@@ -123,7 +123,7 @@
 TEST(PlacerTest, TaskWithDomainStaysInIt) {
   Placer placer(1);
   placer.SetHeadroom(0, kSmall);
-  AddWorkers(placer, 12);
+  AddUpstreams(placer, 12);
   TaskSpec spec = TestTask("t", WorkClass::kService, kSmall);
   spec.domain = DomainId("d1");
   EXPECT_EQ(Fill(placer, spec), 4 * 8);
@@ -133,7 +133,7 @@
 
 TEST(PlacerTest, ServicesSpreadOverDomainsAndRacks) {
   Placer placer(3);
-  AddWorkers(placer, 72);
+  AddUpstreams(placer, 72);
   const TaskSpec spec = TestTask("s", WorkClass::kService, kSmall);
   std::map<DomainId, int> domains;
   std::map<std::string, int> racks;
@@ -141,7 +141,7 @@
     const auto chosen = placer.Choose(spec, kStart);
     ASSERT_TRUE(chosen);
     placer.Reserve(*chosen, spec, kStart);
-    const UpstreamInfo info = TestWorker(std::stoi(chosen->value().substr(1)));
+    const UpstreamInfo info = TestUpstream(std::stoi(chosen->value().substr(1)));
     ++domains[info.domain];
     ++racks[info.domain.value() + info.rack];
   }
@@ -153,22 +153,22 @@
 TEST(PlacerTest, GangIsPlacedAllOrNothing) {
   Placer placer(1);
   placer.SetHeadroom(0, kSmall);
-  AddWorkers(placer, 4);
+  AddUpstreams(placer, 4);
   std::vector<TaskSpec> gang(5, TestTask("g", WorkClass::kGang, {20'000, 1'024, 0, 1}));
   EXPECT_EQ(placer.ChooseGang(gang, kStart).error().path, "/gang_size");
   gang.pop_back();
   const auto chosen = placer.ChooseGang(gang, kStart);
   ASSERT_TRUE(chosen);
   EXPECT_EQ(std::set<UpstreamId>(chosen->begin(), chosen->end()).size(), 4U);
-  for (int i = 0; i < 4; ++i) EXPECT_EQ(placer.Used(TestWorker(i).id), Resources{});
-  placer.SetEligible(TestWorker(2).id, false);
+  for (int i = 0; i < 4; ++i) EXPECT_EQ(placer.Used(TestUpstream(i).id), Resources{});
+  placer.SetEligible(TestUpstream(2).id, false);
   EXPECT_EQ(placer.ChooseGang(gang, kStart).error().id, ErrorId::kNoCapacity);
 }
 
 /// Guards against a burst of starts on a failure domain that has just come back.
 TEST(PlacerTest, StartsOnReturnedDomainAreRateLimited) {
   Placer placer(1);
-  AddWorkers(placer, 60);
+  AddUpstreams(placer, 60);
   TaskSpec spec = TestTask("t", WorkClass::kBatch, kSmall);
   spec.domain = DomainId("d1");
   const Time until = kStart + seconds(30);
@@ -189,9 +189,9 @@
 TEST(PlacerTest, BackfillDoesNotDelayReservedStart) {
   Placer placer(1);
   placer.SetHeadroom(0, kSmall);
-  AddWorkers(placer, 1);
+  AddUpstreams(placer, 1);
   const TaskSpec half = TestTask("half", WorkClass::kBatch, {20'000, 1'024, 0, 1});
-  placer.Reserve(TestWorker(0).id, half, kStart);
+  placer.Reserve(TestUpstream(0).id, half, kStart);
   const TaskSpec blocked = TestTask("blocked", WorkClass::kBatch, {31'000, 1'024, 0, 1});
   const auto start = placer.ReserveStart(blocked, kStart);
   ASSERT_TRUE(start);
@@ -204,9 +204,9 @@
   filler.declared_run_ms = 1'000'000;
   filler.demand.cpu_millis = 1'000;
   ASSERT_TRUE(placer.Choose(filler, kStart));
-  placer.Reserve(TestWorker(0).id, filler, kStart);
+  placer.Reserve(TestUpstream(0).id, filler, kStart);
   EXPECT_FALSE(placer.Choose(filler, kStart));
-  placer.Release(TestWorker(0).id, half, *start);
+  placer.Release(TestUpstream(0).id, half, *start);
   const auto chosen = placer.Choose(blocked, *start);
   EXPECT_TRUE(chosen) << chosen.error().reason;
 }
@@ -215,7 +215,7 @@
 TEST(PlacerTest, UnusedReservationExpires) {
   Placer placer(1);
   placer.SetHeadroom(0, kSmall);
-  AddWorkers(placer, 1);
+  AddUpstreams(placer, 1);
   const TaskSpec blocked = TestTask("blocked", WorkClass::kBatch, {32'000, 1'024, 0, 1});
   const TaskSpec service = TestTask("service", WorkClass::kService, kSmall);
   ASSERT_TRUE(placer.ReserveStart(blocked, kStart));
@@ -224,12 +224,12 @@
 }
 
 /// Guards against counts that drift when the platform's list changes while work runs.
-TEST(PlacerTest, ListChangesKeepReservationsAndTotals) {
+TEST(PlacerTest, UpstreamUpdatesKeepReservationsAndTotals) {
   Placer placer(1);
-  AddWorkers(placer, 20);
+  AddUpstreams(placer, 20);
   const TaskSpec spec = TestTask("t", WorkClass::kBatch, kSmall);
-  placer.Reserve(TestWorker(3).id, spec, kStart);
-  UpstreamInfo grown = TestWorker(3);
+  placer.Reserve(TestUpstream(3).id, spec, kStart);
+  UpstreamInfo grown = TestUpstream(3);
   grown.capacity.slots = 16;
   placer.PutUpstream(grown);
   EXPECT_EQ(placer.Used(grown.id), kSmall);
--- a/src/placement/progressive_filling.h
+++ b/src/placement/progressive_filling.h
@@ -13,7 +13,7 @@
   using Amounts = std::array<double, 4>;
 
   /// Demand of one team and the weight of its share.
-  struct Claim {
+  struct Participant {
     double weight = 1;
     Amounts demand{};
   };
@@ -21,21 +21,21 @@
   explicit ProgressiveFilling(const Amounts& capacity);
 
   /// @return dominant share of each claim, in the order of the claims
-  std::vector<double> Fill(const std::vector<Claim>& claims) const;
+  std::vector<double> Fill(const std::vector<Participant>& participants) const;
 
  private:
   struct Team {
     double weight = 1;
-    double wanted = 0;         ///< dominant share of the whole demand
+    double wanted_share = 0;   ///< dominant share of the whole demand
     double share = 0;          ///< dominant share so far
     Amounts per_unit_share{};  ///< part of each resource used for each unit of dominant share
     bool active = false;
   };
 
-  Team Normalise(const Claim& claim) const;
-  static Amounts Rates(const std::vector<Team>& teams);
-  static double NextStep(const std::vector<Team>& teams, const Amounts& rates, const Amounts& left);
-  static void Freeze(std::vector<Team>& teams, const Amounts& left);
+  Team Normalise(const Participant& participant) const;
+  static Amounts ComputeRates(const std::vector<Team>& teams);
+  static double NextStep(const std::vector<Team>& teams, const Amounts& rates, const Amounts& remaining);
+  static void Freeze(std::vector<Team>& teams, const Amounts& remaining);
 
   Amounts m_capacity;
 };
--- a/src/placement/spread_counts.h
+++ b/src/placement/replica_counts.h
@@ -6,19 +6,19 @@
 #include <vector>
 
 #include "model/task_spec.h"
-#include "placement/worker_table.h"
+#include "placement/upstream_table.h"
 
 namespace jaymast {
 
 /// Number of running replicas of each service per failure domain and rack. A service is a team's kind of work.
-class SpreadCounts {
+class ReplicaCounts {
  public:
-  using Index = WorkerTable::Index;
+  using Index = UpstreamTable::Index;
   using ServiceKey = std::uint64_t;
 
   static ServiceKey KeyOf(const TaskSpec& spec);
 
-  void Add(ServiceKey service, const WorkerTable::Row& row, std::int32_t change);
+  void AddReplicas(ServiceKey service, const UpstreamTable::Row& row, std::int32_t change);
 
   std::int32_t InDomain(ServiceKey service, Index domain) const;
   std::int32_t InRack(ServiceKey service, Index rack) const;
@@ -27,7 +27,7 @@
 
  private:
   struct Count {
-    Index place = 0;
+    Index location = 0;
     std::int32_t replicas = 0;
   };
   struct Service {
@@ -35,8 +35,8 @@
     std::vector<Count> racks;
   };
 
-  static void Change(std::vector<Count>& counts, Index place, std::int32_t change);
-  static std::int32_t Find(const std::vector<Count>& counts, Index place);
+  static void Adjust(std::vector<Count>& counts, Index location, std::int32_t change);
+  static std::int32_t CountAt(const std::vector<Count>& counts, Index location);
 
   std::unordered_map<ServiceKey, Service> m_services;
 };
--- a/src/placement/start_ramp.h
+++ b/src/placement/start_rate_limiter.h
@@ -4,17 +4,17 @@
 #include <vector>
 
 #include "base/time.h"
-#include "placement/worker_table.h"
+#include "placement/upstream_table.h"
 
 namespace jaymast {
 
 /// Limits the rate of starts in failure domains that have just come back into service.
-class StartRamp {
+class StartRateLimiter {
  public:
-  using Index = WorkerTable::Index;
+  using Index = UpstreamTable::Index;
 
   /// Limits a domain to `starts_per_second` until a point in time. A later call replaces an earlier one.
-  void Limit(Index domain, Time until, std::int64_t starts_per_second, Time now);
+  void SetLimit(Index domain, Time until, std::int64_t starts_per_second, Time now);
 
   bool MayStart(Index domain, Time now) const;
   void OnStart(Index domain, Time now);
--- a/src/placement/test_cluster.h
+++ b/src/placement/test_cluster.h
@@ -9,7 +9,7 @@
 namespace jaymast {
 
 /// Worker with 32 processors, 128 GB and 8 slots, eight workers to a rack and three failure domains.
-inline UpstreamInfo TestWorker(int number) {
+inline UpstreamInfo TestUpstream(int number) {
   UpstreamInfo info;
   info.id = UpstreamId("u" + std::to_string(number));
   info.domain = DomainId("d" + std::to_string(number % 3));
--- a/src/placement/worker_table.h
+++ b/src/placement/upstream_table.h
@@ -19,7 +19,7 @@
 ///
 /// Workers are stored in groups of one failure domain each. A group keeps the largest free amount of each resource over
 /// its open workers, so that a search passes over a group without looking at its workers.
-class WorkerTable {
+class UpstreamTable {
  public:
   using Index = std::uint32_t;
 
@@ -30,7 +30,7 @@
     Resources capacity;
     Resources used;
     std::array<double, kResourceKinds> inverse{};  ///< 1 / capacity, 0 where there is no capacity
-    std::int64_t open_slots = 0;                   ///< slots, free or used, 0 when closed
+    std::int64_t schedulable_slots = 0;            ///< slots, free or used, 0 when closed
     std::int64_t tasks = 0;
     std::int64_t connections = 0;  ///< most tasks at once, 0 when unlimited
     Index domain = 0;
@@ -50,11 +50,11 @@
   void Remove(const UpstreamId& id);
   void SetEligible(Index index, bool eligible);
 
-  void Use(Index index, const Resources& demand);
+  void Allocate(Index index, const Resources& demand);
   void Free(Index index, const Resources& demand);
 
   /// Demand of one preview, which is the unit in which headroom is counted.
-  void SetPreviewUnit(const Resources& unit);
+  void SetPreviewDemand(const Resources& preview_demand);
 
   std::optional<Index> Find(const UpstreamId& id) const;
   std::optional<Index> FindDomain(const DomainId& domain) const;
@@ -62,15 +62,15 @@
   const Row& row(Index index) const { return m_rows[index]; }
 
   /// Free capacity of a worker that may get new tasks. All amounts are negative when it may not.
-  const Resources& open(Index index) const { return m_open[index]; }
+  const Resources& schedulable_free(Index index) const { return m_schedulable_free[index]; }
 
   /// Whether a demand fits into the free capacity of a worker that may get new tasks.
   bool Fits(Index index, const Resources& demand, PackedResources packed_demand) const {
-    return packed_demand.MayFitIn(m_packed[index]) && demand.FitsIn(m_open[index]);
+    return packed_demand.MayFitIn(m_packed[index]) && demand.FitsIn(m_schedulable_free[index]);
   }
 
   /// Previews that fit into a worker now, 0 when it may not get new tasks.
-  std::int64_t units(Index index) const { return m_units[index]; }
+  std::int64_t free_previews(Index index) const { return m_free_previews[index]; }
 
   const std::vector<Group>& groups() const { return m_groups; }
   std::size_t size() const { return m_index.size(); }
@@ -79,35 +79,35 @@
   const Resources& capacity() const { return m_capacity; }
 
   /// Number of previews that fit into the open workers now.
-  std::int64_t open_units() const { return m_open_units; }
+  std::int64_t total_free_previews() const { return m_total_free_previews; }
 
   /// Slots of the open workers, free or used.
-  std::int64_t open_slots() const { return m_open_slots; }
+  std::int64_t schedulable_slots() const { return m_schedulable_slots; }
 
   /// Number of previews that fit into an amount of free capacity.
-  std::int64_t UnitsIn(const Resources& free) const;
+  std::int64_t PreviewsIn(const Resources& free) const;
 
   /// Different capacities of the workers with the number of workers of each, for checks of impossible demands.
   struct Shape {
     Resources capacity;
     Index domain = 0;
-    std::int64_t workers = 0;
+    std::int64_t upstreams = 0;
   };
   const std::vector<Shape>& shapes() const { return m_shapes; }
 
   std::size_t MemoryBytes() const;
 
  private:
-  Index Allocate(Index domain);
+  Index AllocateRow(Index domain);
   Index Intern(std::unordered_map<std::string, Index>& names, const std::string& name);
   void CountShape(const Row& row, std::int64_t change);
   void Refresh(Index index);
   void RefreshGroup(Index group);
-  bool IsOpen(const Row& row) const;
+  bool IsSchedulable(const Row& row) const;
 
   std::vector<PackedResources> m_packed;
-  std::vector<Resources> m_open;
-  std::vector<std::int32_t> m_units;
+  std::vector<Resources> m_schedulable_free;
+  std::vector<std::int32_t> m_free_previews;
   std::vector<Row> m_rows;
   std::vector<UpstreamId> m_ids;
   std::vector<Group> m_groups;
@@ -116,9 +116,9 @@
   std::unordered_map<std::string, Index> m_domains;
   std::unordered_map<std::string, Index> m_racks;
   Resources m_capacity;
-  Resources m_preview_unit{0, 0, 0, 1};
-  std::int64_t m_open_units = 0;
-  std::int64_t m_open_slots = 0;
+  Resources m_preview_demand{0, 0, 0, 1};
+  std::int64_t m_total_free_previews = 0;
+  std::int64_t m_schedulable_slots = 0;
 };
 
 }  // namespace jaymast
