--- a/src/placement/admission_queue.cc
+++ b/src/placement/admission_queue.cc
@@ -11,7 +11,7 @@
 namespace jaymast {
 namespace {
 
-/// A full queue looks for tasks to shed at most this often, because the search visits the whole queue.
+/// Minimum interval between searches for tasks to drop from a full queue, each of which visits the whole queue.
 constexpr Duration kShedInterval = std::chrono::milliseconds(100);
 
 }  // namespace
@@ -69,7 +69,7 @@
 }
 
 std::size_t AdmissionQueue::MemoryBytes() const {
-  constexpr std::size_t kNodeBytes = 48;  // node of a tree or a hash table without its value
+  constexpr std::size_t kNodeBytes = 48;  // overhead of a tree or hash table node
   std::size_t bytes = sizeof(*this) + m_queues.size() * (sizeof(QueueKey) + sizeof(SubQueue) + kNodeBytes);
   bytes += m_positions.size() * (sizeof(AttemptId) + 2 * sizeof(Position) + sizeof(Time) + 3 * kNodeBytes);
   for (const auto& [key, queue] : m_queues) {
@@ -118,7 +118,7 @@
     for (std::size_t higher = 0; higher < rank; ++higher) ahead += tasks_of_rank.at(higher);
     for (const auto& [age, entry] : queue.entries) {
       if (!MeetsDeadline(entry, ahead, now)) late.push_back({&queue, age});
-      // The sub-queues of a rank take turns.
+      // The sub-queues of a rank are served in turn.
       ahead += queues_of_rank.at(rank);
     }
   }
@@ -129,14 +129,14 @@
 bool AdmissionQueue::MeetsDeadline(const Entry& entry, std::size_t ahead, Time now) const {
   if (entry.latest_start <= now) return false;
   const double rate = m_drain_rate.PerSecond(now);
-  // Without a measured rate, nothing is known about the waiting time.
+  // The waiting time is unknown without a measured rate.
   if (rate <= 0) return true;
   const std::chrono::duration<double> wait(static_cast<double>(ahead) / rate);
   return wait <= std::chrono::duration<double>(entry.latest_start - now);
 }
 
 void AdmissionQueue::DropEmptyQueues() {
-  // A round of offers holds pointers to sub-queues.
+  // A round of offers keeps pointers to sub-queues.
   if (m_offering) return;
   std::erase_if(m_queues, [](const auto& queue) { return queue.second.entries.empty(); });
 }
--- a/src/placement/admission_queue.h
+++ b/src/placement/admission_queue.h
@@ -21,22 +21,22 @@
 class Estimator;
 class FairShare;
 
-/// A request for capacity that waits at the owner of upstreams.
+/// A task that waits at the owner of upstreams for capacity.
 struct WaitingTask {
   AttemptId id;
   TaskSpec spec;
-  EntryId from;  ///< entry that asked
-  Time since;
-  Time deadline;                 ///< dropped when it is not placed by then
-  Time finish_by = Time::max();  ///< dropped when its expected end would be later
+  EntryId from;                  ///< entry that sent the request
+  Time since;                    ///< when it was queued
+  Time deadline;                 ///< dropped if not placed by then
+  Time finish_by = Time::max();  ///< dropped if its expected end is later
 };
 
-/// What became of a task that was offered for placement.
+/// Result of offering a task for placement.
 enum class OfferOutcome {
   kPlaced,
-  kNoCapacity,            ///< does not fit now; equal and larger demands need not be offered
-  kBlockedByReservation,  ///< capacity is reserved for another task; shorter tasks may fit
-  kRefused,               ///< not placed for a reason that concerns its team only, such as the team's limit
+  kNoCapacity,            ///< does not fit now, so equal and larger demands are not offered
+  kBlockedByReservation,  ///< would delay a reserved start; a shorter task may fit
+  kRefused,               ///< not placed for a reason that affects its team only, such as the team's limit
 };
 
 /// Order in which waiting tasks are served.
@@ -49,57 +49,58 @@
 /// Result of a round of offers.
 struct OfferReport {
   std::size_t placed = 0;
-  std::vector<AttemptId> blocked;  ///< first task of each rank that did not fit; candidates for a reserved start
+  std::vector<AttemptId> blocked;  ///< first task of each rank that did not fit, candidate for a reserved start
 };
 
-/// Requests that wait for capacity at an owner, served by class of work and then by fair share.
+/// Queues tasks that wait for capacity, and serves them by class of work and then by fair share.
 ///
-/// Tasks are kept in sub-queues per class of work, team and failure domain, each in order of age. A round of offers
-/// looks at the heads of the sub-queues and at a bounded number of tasks behind heads that do not fit.
+/// There is one sub-queue for each class of work, team and failure domain, ordered by age. A round of offers visits the
+/// heads of the sub-queues and a bounded number of tasks behind heads that do not fit.
 class AdmissionQueue {
  public:
-  /// Tasks looked at and not taken in one round, for each rank of service. Bounds the cost of a round on a long queue.
+  /// Tasks of one rank visited and not placed in one round. Bounds the cost of a round on a long queue.
   static constexpr std::size_t kMaxSkippedPerRank = 4096;
 
-  /// The same for each sub-queue. A team below its share gets this many tries before the next team has a turn.
+  /// Tasks of one sub-queue visited and not placed in one round, after which the next team is served.
   static constexpr std::size_t kMaxSkippedPerSubQueue = 32;
 
-  /// Tasks offered and not taken in one round, for each rank of service.
+  /// Tasks of one rank offered and not placed in one round.
   static constexpr std::size_t kMaxFailedOffersPerRank = 128;
 
   AdmissionQueue(const FairShare& fair_share, std::size_t max_size);
 
   void SetOrder(QueueOrder order) { m_order = order; }
 
-  /// Uses learned run times for deadlines and backfill in place of declared ones. Must outlive the queue.
+  /// Uses learned instead of declared run times. The estimator must outlive the queue.
   void SetEstimator(const Estimator* estimator) { m_estimator = estimator; }
 
-  /// A full queue first sheds tasks that are not expected to meet their deadline; TakeExpired() returns them.
-  /// @return false when the queue is full and the task was not added
+  /// Adds a task, replacing one with the same id. A full queue first drops tasks that are not expected to meet their
+  /// deadline; TakeExpired() returns them.
+  /// @return false if the queue is full and the task was not added
   bool Push(WaitingTask task);
 
-  /// Complexity: logarithmic in the size of the queue, so cancellations cost in proportion to the cancelled work.
+  /// Complexity: logarithmic in the size of the queue.
   void Erase(const AttemptId& id);
 
   std::size_t size() const { return m_positions.size(); }
 
-  /// The waiting task, or nullptr.
+  /// @return the waiting task, or nullptr
   const WaitingTask* Find(const AttemptId& id) const;
 
-  /// Offers waiting tasks in policy order to `place`, which returns whether it took the task. Taken tasks leave the
-  /// queue. `place` may push and erase tasks.
+  /// Passes waiting tasks to `place` in service order and removes those for which it returns true. `place` may push and
+  /// erase tasks.
   void Dispatch(Time now, const std::function<bool(const WaitingTask&)>& place);
 
-  /// As Dispatch. Tasks that do not fit do not delay the smaller ones behind them.
+  /// As Dispatch, but smaller or shorter tasks are still offered after one that does not fit.
   OfferReport Offer(Time now, const std::function<OfferOutcome(const WaitingTask&)>& place);
 
-  /// As Offer, for previews and urgent tasks only. Costs little, so that it can run whenever such a task arrives.
+  /// As Offer, for previews and urgent tasks only. Cheap enough to run whenever such a task arrives.
   OfferReport OfferInteractive(Time now, const std::function<OfferOutcome(const WaitingTask&)>& place);
 
-  /// Offers a task before all others from now on, because capacity is reserved for it.
+  /// Offers the task before all others from now on. For tasks with a reserved start.
   void Prefer(const AttemptId& id);
 
-  /// Removes and returns the tasks whose deadline has passed or cannot be met.
+  /// Removes and returns the tasks whose latest start has passed, and those dropped by Push().
   std::vector<WaitingTask> TakeExpired(Time now);
 
   std::size_t MemoryBytes() const;
@@ -111,7 +112,7 @@
   struct Entry {
     WaitingTask task;
     Time latest_start;
-    std::int64_t run_ms = 0;  ///< expected run time, the largest value when unknown
+    std::int64_t run_ms = 0;  ///< expected run time, the maximum value if unknown
   };
   struct SubQueue {
     WorkClass work_class = WorkClass::kBatch;
@@ -127,25 +128,25 @@
     }
   };
 
-  /// Next task of a sub-queue in a round of offers.
+  /// Next task of a sub-queue to offer in a round.
   struct Cursor {
     int rank = 0;
     std::size_t skipped = 0;
     double score = 0;
-    std::size_t placed = 0;  ///< tasks taken in the round when the score was computed
+    std::size_t placed = 0;  ///< tasks placed in the round when the score was computed
     Age age;
     const QueueKey* key = nullptr;
     SubQueue* queue = nullptr;
 
     auto OrderKey() const { return std::tie(rank, score, age); }
   };
-  /// A demand that did not fit in this round.
+  /// A demand that was not placed in this round.
   struct FailedDemand {
     Resources demand;
     DomainId domain;
     std::int64_t run_ms = 0;
     bool is_preview = false;
-    const SubQueue* only_queue = nullptr;  ///< applies to this sub-queue alone when set
+    const SubQueue* only_queue = nullptr;  ///< if set, applies to this sub-queue only
   };
   struct Round;
 
@@ -181,7 +182,7 @@
   DrainRate m_drain_rate;
   Time m_next_shed;
   bool m_offering = false;
-  std::vector<std::map<Age, Entry>::node_type> m_removed;  ///< during a round, which may still refer to them
+  std::vector<std::map<Age, Entry>::node_type> m_removed;  ///< kept until the end of a round, which may refer to them
 };
 
 }  // namespace jaymast
--- a/src/placement/admission_queue_offer.cc
+++ b/src/placement/admission_queue_offer.cc
@@ -13,19 +13,20 @@
 
 constexpr std::size_t kRanks = 6;
 
-/// Rank of a class of work in the order of service, indexed by WorkClass. Rank 2 is for tasks that have waited too
-/// long.
+/// Rank of each class of work in the service order, indexed by WorkClass. Rank 2 is for starved tasks.
 constexpr std::array<int, EnumNames<WorkClass>::kNames.size()> kClassRank = {0, 1, 3, 5, 4};
 constexpr int kStarvedRank = 2;
 
-/// A gang needs capacity on several workers at once and loses to single tasks, so it moves up early.
+/// Waiting time after which a task counts as starved. Shorter for gangs: they need capacity on several upstreams at
+/// once and lose it to single tasks.
 constexpr Duration kGangStarvationAge = std::chrono::minutes(2);
 constexpr Duration kStarvationAge = std::chrono::minutes(10);
 
-/// A task that would delay a reserved start makes only tasks of at most this part of its run time worth an offer.
+/// After a task that would delay a reserved start, equal and larger tasks are offered only if their run time is shorter
+/// than its run time divided by this.
 constexpr std::int64_t kRunTimeDivisor = 2;
 
-/// Demands remembered as not fitting in one round. Tasks are compared with each of them.
+/// Failed demands recorded in one round. Each task is compared with all of them.
 constexpr std::size_t kMaxFailedDemands = 32;
 
 }  // namespace
@@ -112,13 +113,13 @@
     const Position position = known->second;
     OfferEntry(round, *position.queue, position.age);
   }
-  // A preferred task that does not fit says nothing about tasks without a reserved start.
+  // Tasks without a reserved start may fit where a preferred task does not.
   round.failed_demands.clear();
 }
 
 void AdmissionQueue::CollectCursors(Round& round, bool interactive_only) {
   for (auto& [key, queue] : m_queues) {
-    // The keys are in order of class, and the interactive classes are the first two.
+    // Keys are ordered by class, and the first two classes are interactive.
     if (interactive_only && queue.work_class > WorkClass::kUrgent) break;
     const auto cursor = MakeCursor(key, queue, round.now);
     if (cursor) round.cursors.push(*cursor);
@@ -130,7 +131,7 @@
     Cursor cursor = round.cursors.top();
     round.cursors.pop();
     if (cursor.placed != round.report.placed) {
-      // The team may have got capacity since, also through another of its sub-queues.
+      // Placements since then may have changed the score of the team, also through its other sub-queues.
       cursor.placed = round.report.placed;
       cursor.score = ScoreOf(*cursor.key, round.now);
       round.cursors.push(cursor);
@@ -160,7 +161,7 @@
   const WaitingTask& task = queue.entries.find(age)->second.task;
   const AttemptId id = task.id;
   const OfferOutcome outcome = round.place(task);
-  // The callback may have erased the task, or pushed it again.
+  // The callback may have erased the task or pushed it again.
   const auto known = m_positions.find(id);
   const bool is_unchanged = known != m_positions.end() && known->second.queue == &queue && known->second.age == age;
   if (outcome == OfferOutcome::kPlaced) {
@@ -182,7 +183,7 @@
 }
 
 void AdmissionQueue::RecordFailedDemand(Round& round, FailedDemand failed_demand) {
-  // A smaller demand that failed makes the larger ones redundant.
+  // A failed demand makes larger ones redundant.
   std::erase_if(round.failed_demands, [&failed_demand](const FailedDemand& other) {
     const bool same_scope = failed_demand.only_queue == other.only_queue && failed_demand.domain == other.domain;
     const bool makes_redundant = failed_demand.is_preview >= other.is_preview && failed_demand.run_ms <= other.run_ms;
@@ -196,7 +197,7 @@
   const TaskSpec& spec = entry.task.spec;
   return std::any_of(round.failed_demands.begin(), round.failed_demands.end(), [&](const FailedDemand& failed_demand) {
     if (failed_demand.only_queue != nullptr && failed_demand.only_queue != &queue) return false;
-    // Previews may use capacity that is closed to other work.
+    // Previews may use the headroom, which other work may not.
     if (is_preview && !failed_demand.is_preview) return false;
     if (!failed_demand.domain.empty() && failed_demand.domain != spec.domain) return false;
     return entry.run_ms >= failed_demand.run_ms / kRunTimeDivisor && failed_demand.demand.FitsIn(spec.demand);
--- a/src/placement/admission_queue_test.cc
+++ b/src/placement/admission_queue_test.cc
@@ -73,7 +73,7 @@
   EXPECT_EQ(queue.size(), 20'000U);
 }
 
-/// Guards against small tasks that wait behind a large one of the same team, and a limit of one team that stops others.
+/// Guards against a large task that blocks smaller ones of its team, and a team limit that blocks other teams.
 TEST(AdmissionQueueTest, BlockedTasksDoNotBlockSmallerTasksOrOtherTeams) {
   FairShare shares;
   AdmissionQueue queue(shares, 100);
@@ -98,7 +98,7 @@
   EXPECT_EQ(OrderOfDispatch(queue, kStart).front(), "large");
 }
 
-/// Guards against starvation of gangs and batch work by a steady flow of work of higher classes.
+/// Guards against starvation of gangs and batch work by a steady flow of tasks of higher classes.
 TEST(AdmissionQueueTest, OldWorkIsNotStarvedByHigherClasses) {
   for (const WorkClass starved : {WorkClass::kGang, WorkClass::kBatch}) {
     FairShare shares;
@@ -136,7 +136,7 @@
   queue.Push(std::move(cannot_finish));
   for (int i = 20; i < 21; ++i) queue.Push(Waiting(std::to_string(i), WorkClass::kBatch, "a", kStart));
   EXPECT_EQ(queue.size(), 10U);
-  // The queue is full, two tasks left it in the last seconds, and the late task has seven before it.
+  // The queue is full, two tasks have left it, and the late task has seven before it.
   EXPECT_TRUE(queue.Push(Waiting("new", WorkClass::kBatch, "a", kStart + seconds(1))));
   const auto expired = queue.TakeExpired(kStart + seconds(1));
   ASSERT_EQ(expired.size(), 2U);
@@ -144,7 +144,7 @@
   EXPECT_EQ(expired[1].id.task, TaskId("cannot-finish"));
 }
 
-/// Guards against pointers to removed tasks when the placement callback changes the queue.
+/// Guards against dangling pointers to removed tasks when the placement callback changes the queue.
 TEST(AdmissionQueueTest, CallbackMayChangeTheQueue) {
   FairShare shares;
   std::mt19937_64 random(3);
--- a/src/placement/backfill.cc
+++ b/src/placement/backfill.cc
@@ -6,10 +6,10 @@
 namespace jaymast {
 namespace {
 
-/// A reservation outlives its expected start by this much, for tasks that run a little longer than estimated.
+/// A reservation is kept for this long after its start, for tasks that run slightly longer than estimated.
 constexpr Duration kReservationGrace = std::chrono::seconds(30);
 
-/// A task that is past its expected end is taken to end after this much.
+/// Assumed remaining run time of a task that is past its expected end.
 constexpr Duration kOverdueRemaining = std::chrono::seconds(1);
 
 }  // namespace
--- a/src/placement/backfill.h
+++ b/src/placement/backfill.h
@@ -11,43 +11,42 @@
 
 namespace jaymast {
 
-/// Reserves a start for a blocked task on a worker, and admits other tasks there only if they do not delay it.
+/// Reserves starts for blocked tasks, and admits other tasks only if they do not delay these starts.
 ///
-/// A task may be placed on a reserved worker if its expected end is not after the reserved start, or if it fits into
-/// the capacity that the blocked task leaves.
+/// A task may run on a reserved upstream if its expected end is not after the reserved start, or if it fits into the
+/// capacity that the blocked task leaves free.
 class Backfill {
  public:
   using Index = UpstreamTable::Index;
   using TaskHash = std::uint64_t;
 
-  /// Most reservations at once. Each one keeps a worker from starting long tasks, so few blocked tasks get one.
+  /// Maximum number of reservations. Each one keeps an upstream from starting long tasks.
   static constexpr std::size_t kMaxReservations = 16;
 
   struct Reservation {
     TaskHash task = 0;
     Index upstream = 0;
     Time start;    ///< when the blocked task is expected to fit
-    Time expires;  ///< dropped then, because the estimates were wrong or the task is gone
+    Time expires;  ///< dropped then: the estimates were wrong or the task is gone
     Resources demand;
-    Resources spare;  ///< free capacity at `start` that the blocked task leaves
+    Resources spare;  ///< free capacity at `start` beside the blocked task
   };
 
-  /// Records the expected end of a task that starts on a worker.
+  /// Records that a task starts on an upstream.
   void OnStart(Index upstream, TaskHash task, const Resources& demand, Time expected_end);
   void OnEnd(Index upstream, TaskHash task, const Resources& demand);
   void OnUpstreamRemoved(Index upstream);
 
-  /// Reserves the earliest expected start over all workers, replacing an earlier reservation of the task.
-  /// @return the reservation, or nothing when no worker can hold the demand or too many tasks have a reservation
-  /// Complexity: linear in workers and running tasks.
+  /// Reserves the earliest expected start over all upstreams, replacing an earlier reservation of the task.
+  /// @return the reservation, or nothing if no upstream can hold the demand or kMaxReservations is reached
+  /// Complexity: linear in upstreams and running tasks.
   std::optional<Reservation> Reserve(const UpstreamTable& table, TaskHash task, const Resources& demand,
                                      std::optional<Index> domain, Time now);
   void Cancel(TaskHash task);
 
-  /// Drops the reservations that have expired.
   void Expire(Time now);
 
-  /// Whether a task may start on the worker without delaying a reserved start there.
+  /// Whether a task can start on the upstream without delaying a reserved start.
   bool Allows(Index upstream, TaskHash task, const Resources& demand, Time expected_end, Time now) const;
 
   const std::vector<Reservation>& reservations() const { return m_reservations; }
@@ -65,7 +64,7 @@
                                                Time now) const;
   bool HasReservation(Index upstream) const;
 
-  std::vector<std::vector<Running>> m_running;  ///< indexed by worker
+  std::vector<std::vector<Running>> m_running;  ///< indexed by upstream
   std::vector<Reservation> m_reservations;
 };
 
--- a/src/placement/drain_rate.cc
+++ b/src/placement/drain_rate.cc
@@ -7,7 +7,7 @@
 namespace jaymast {
 namespace {
 
-/// Time constant of the decay. It covers several rounds of offers and follows a change of load within seconds.
+/// Covers several rounds of offers and follows load changes within seconds.
 constexpr std::chrono::duration<double> kTimeConstant = std::chrono::seconds(10);
 
 double DecayFactor(Duration elapsed) {
--- a/src/placement/drain_rate.h
+++ b/src/placement/drain_rate.h
@@ -6,16 +6,16 @@
 
 namespace jaymast {
 
-/// Decayed rate at which tasks leave a queue.
+/// Measures the rate at which tasks leave a queue, as an exponentially decayed average.
 class DrainRate {
  public:
   void OnDequeued(std::size_t tasks, Time now);
 
-  /// Tasks a second, 0 before the first one.
+  /// @return tasks per second, 0 before the first task
   double PerSecond(Time now) const;
 
  private:
-  double m_rate = 0;  ///< at `m_updated`
+  double m_rate = 0;  ///< tasks per second at `m_updated`
   Time m_updated;
 };
 
--- a/src/placement/estimator.cc
+++ b/src/placement/estimator.cc
@@ -35,7 +35,7 @@
 }
 
 std::size_t Estimator::MemoryBytes() const {
-  constexpr std::size_t kNodeBytes = 64;  // nodes of the hash table and of the list
+  constexpr std::size_t kNodeBytes = 64;  // overhead of the hash table node and the list node
   std::size_t bytes = sizeof(*this);
   for (const auto& [key, kind] : m_kinds) {
     bytes += sizeof(Kind) + 2 * (sizeof(std::string) + key.capacity()) + kNodeBytes;
@@ -58,7 +58,7 @@
 
 Estimate Estimator::Quantiles(const Kind& kind, const TaskSpec& spec, std::size_t prior_weight) {
   Estimate estimate{0, spec.demand};
-  // An unknown declared run time is no prior.
+  // A run time of 0 is unknown and no prior.
   const std::size_t run_weight = spec.declared_run_ms > 0 ? prior_weight : 0;
   estimate.run_ms = Quantile(kind, &Observation::run_ms, spec.declared_run_ms, run_weight);
   estimate.size.cpu_millis = Quantile(kind, &Observation::cpu_millis, spec.demand.cpu_millis, prior_weight);
--- a/src/placement/estimator.h
+++ b/src/placement/estimator.h
@@ -12,33 +12,34 @@
 
 namespace jaymast {
 
-/// Expected run time and size of a task.
+/// Expected run time and resource usage of a task.
 struct Estimate {
   std::int64_t run_ms = 0;
   Resources size;
 };
 
-/// Learns run time and size per team and kind as 90th percentiles over a window of finished tasks.
+/// Estimates run time and resource usage per team and kind, as 90th percentiles over a window of finished tasks.
 ///
-/// Declared values are a prior: they count as a few observations until the window holds enough finished tasks.
+/// Declared values serve as a prior: they count as kPriorWeight observations until kMinObservations tasks have
+/// finished.
 class Estimator {
  public:
-  /// Finished tasks remembered for each team and kind.
+  /// Finished tasks kept for each team and kind.
   static constexpr std::size_t kWindow = 64;
 
-  /// Weight of the declared values in observations. With a full prior no longer counted after kTrusted observations.
+  /// Weight of the declared values, in observations.
   static constexpr std::size_t kPriorWeight = 4;
 
-  /// Number of observations from which the declared values no longer count. A 90th percentile needs at least 10.
+  /// Observations from which the declared values no longer count. A 90th percentile needs at least 10.
   static constexpr std::size_t kMinObservations = 10;
 
-  /// Most kinds remembered over all teams. The kind without a result for the longest time is forgotten first.
+  /// Maximum number of kinds over all teams. The least recently recorded kind is evicted first.
   static constexpr std::size_t kMaxKinds = 4096;
 
   void Record(const TaskSpec& spec, std::int64_t run_ms, const Resources& peak_usage);
   Estimate EstimateFor(const TaskSpec& spec) const;
 
-  /// Whether enough tasks of the team and kind have finished for the declared values not to count any more.
+  /// Whether kMinObservations tasks of the team and kind have finished, so that declared values no longer count.
   bool HasEnoughObservations(const TaskSpec& spec) const;
 
   std::size_t MemoryBytes() const;
@@ -53,8 +54,8 @@
   struct Kind {
     std::array<Observation, kWindow> window;
     std::size_t count = 0;  ///< observations in the window
-    std::size_t next = 0;   ///< position that the next observation overwrites
-    Estimate learned;       ///< quantiles over the window alone
+    std::size_t next = 0;   ///< index that the next observation overwrites
+    Estimate learned;       ///< percentiles of the window, without the prior
     std::list<std::string>::iterator lru_position;
   };
 
@@ -65,7 +66,7 @@
   Kind& Touch(const std::string& key);
 
   std::unordered_map<std::string, Kind> m_kinds;
-  std::list<std::string> m_lru;  ///< keys, the one with the latest result first
+  std::list<std::string> m_lru;  ///< keys, most recently recorded first
 };
 
 }  // namespace jaymast
--- a/src/placement/estimator_test.cc
+++ b/src/placement/estimator_test.cc
@@ -14,7 +14,7 @@
 
 constexpr Time kStart = TimeFromMicros(0);
 
-/// Guards against declared values that are wrong by 10x and against one extreme run that sets the estimate.
+/// Guards against estimates that follow declared values wrong by 10x, or a single outlier.
 TEST(EstimatorTest, LearnsNinetiethPercentileFromWrongDeclarations) {
   Estimator estimator;
   const TaskSpec spec = TestTask("t", WorkClass::kBatch, {1'000, 1'000, 0, 1});
@@ -22,7 +22,7 @@
   EXPECT_EQ(estimator.EstimateFor(spec).size, spec.demand);
   for (int i = 1; i <= 100; ++i) estimator.Record(spec, 1'000 + i, {200, 300, 0, 1});
   estimator.Record(spec, 3'600'000, {200, 300, 0, 1});
-  // The window holds runs of 1,038 to 1,100 ms and the extreme one; its 58th value of 64 is the percentile.
+  // The window holds runs of 1,038 to 1,100 ms and the outlier; the percentile is its 58th value of 64.
   EXPECT_EQ(estimator.EstimateFor(spec).run_ms, 1'095);
   EXPECT_EQ(estimator.EstimateFor(spec).size, (Resources{200, 300, 0, 1}));
   TaskSpec other = spec;
@@ -42,7 +42,7 @@
   EXPECT_EQ(estimator.EstimateFor(spec).run_ms, 100);
 }
 
-/// Guards against unbounded state when submitters use a new kind for each task.
+/// Guards against unbounded memory when every task has a new kind.
 TEST(EstimatorTest, NumberOfKindsIsBounded) {
   Estimator estimator;
   TaskSpec spec = TestTask("t", WorkClass::kBatch, {1'000, 1'000, 0, 1});
@@ -69,7 +69,7 @@
   EXPECT_EQ(usage.ActionAt(kStart + seconds(60)), OverrunAction::kStop);
 }
 
-/// Guards against services stopped for running long, which is what they are for.
+/// Guards against services, which run indefinitely, being stopped as overruns.
 TEST(OverrunTest, ServicesAndUnknownRunTimesNeverOverrun) {
   const TaskSpec service = TestTask("s", WorkClass::kService, {1'000, 1'000, 0, 1});
   EXPECT_EQ(OverrunDeadlines::ForRunTime(service, {60'000, {}}, kStart).ActionAt(kStart + seconds(1'000'000)),
--- a/src/placement/failure_attribution.cc
+++ b/src/placement/failure_attribution.cc
@@ -8,7 +8,7 @@
 namespace jaymast {
 namespace {
 
-/// Odd multiplier that keeps the hashes of team and kind apart when they are combined.
+/// Odd multiplier that makes the combined hash depend on the order of team and kind.
 constexpr std::uint64_t kTeamHashMultiplier = 0x9e3779b97f4a7c15;
 
 std::uint64_t KindHash(const TaskSpec& spec) {
@@ -57,7 +57,7 @@
 
 std::size_t FailureAttribution::MemoryBytes() const {
   constexpr std::size_t kHashNodeBytes = 24;
-  constexpr std::size_t kDequeBlockBytes = 512 + 64;  // the first block of a deque and the table of its blocks
+  constexpr std::size_t kDequeBlockBytes = 512 + 64;  // first block of a deque and its block table
   std::size_t bytes = sizeof(*this) + (m_jobs_by_age.size() + m_kinds_by_age.size()) * sizeof(Hash);
   bytes += m_histories.size() * (sizeof(UpstreamId) + sizeof(UpstreamHistory) + kHashNodeBytes + kDequeBlockBytes);
   bytes += m_kinds.size() * (sizeof(Kind) + kHashNodeBytes + kDequeBlockBytes);
@@ -69,7 +69,7 @@
 
 void FailureAttribution::RecordUpstreamResult(UpstreamHistory& history, const UpstreamResult& result, Time now) {
   const bool was_probe = history.probe_until.has_value();
-  if (history.quarantined_until && !was_probe) return;  // started before the quarantine
+  if (history.quarantined_until && !was_probe) return;  // the task started before the quarantine
   history.probe_until.reset();
   if (history.quarantined_until && !result.succeeded) {
     Quarantine(history, now);
@@ -80,8 +80,7 @@
   if (history.results.size() > kUpstreamWindow) history.results.pop_front();
   const auto succeeded = [](const UpstreamResult& past) { return past.succeeded; };
   const bool full = history.results.size() == kUpstreamWindow;
-  if (full && std::all_of(history.results.begin(), history.results.end(), succeeded))
-    history.consecutive_quarantines = 0;
+  if (full && std::all_of(history.results.begin(), history.results.end(), succeeded)) history.quarantine_count = 0;
 }
 
 void FailureAttribution::RecordKindResult(Hash kind, Hash upstream, bool succeeded) {
@@ -139,11 +138,11 @@
 
 void FailureAttribution::Quarantine(UpstreamHistory& history, Time now) {
   Duration duration = kInitialQuarantine;
-  for (int i = 0; i < history.consecutive_quarantines && duration < kMaxQuarantine; ++i) duration *= 2;
+  for (int i = 0; i < history.quarantine_count && duration < kMaxQuarantine; ++i) duration *= 2;
   history.quarantined_until = now + std::min(duration, kMaxQuarantine);
   history.probe_until.reset();
   history.results.clear();
-  ++history.consecutive_quarantines;
+  ++history.quarantine_count;
 }
 
 bool FailureAttribution::IsUpstreamAtFault(const UpstreamId& upstream, const UpstreamResult& result) const {
--- a/src/placement/failure_attribution.h
+++ b/src/placement/failure_attribution.h
@@ -14,51 +14,52 @@
 
 namespace jaymast {
 
-/// Tells a bad worker, which fails what succeeds elsewhere, from a bad job, which fails on several good workers.
+/// Attributes failures to upstreams or to jobs.
 ///
-/// A bad worker is quarantined. When the quarantine ends, one task is started there as a probe. A probe that fails
-/// doubles the next quarantine; one that succeeds ends it.
+/// An upstream is faulty if it fails jobs that succeed elsewhere; a job is faulty if it fails on several reliable
+/// upstreams. A faulty upstream is quarantined. At the end of the quarantine one task is started there as a probe. A
+/// probe that succeeds ends the quarantine; one that fails doubles it, up to kMaxQuarantine.
 class FailureAttribution {
  public:
-  /// Results remembered for each worker.
+  /// Results kept for each upstream.
   static constexpr std::size_t kUpstreamWindow = 8;
 
-  /// Results remembered for each team and kind of work.
+  /// Results kept for each team and kind of work.
   static constexpr std::size_t kKindWindow = 32;
 
-  /// Different jobs that must fail on a worker, and succeed elsewhere, before it is quarantined. Fewer would punish a
-  /// worker for jobs that fail now and then.
+  /// Distinct jobs with a failure attributed to an upstream before it is quarantined. Fewer would quarantine upstreams
+  /// for jobs that fail occasionally.
   static constexpr std::size_t kFailedJobsForQuarantine = 3;
 
-  /// Good workers on which a job must fail before it is marked as bad.
+  /// Reliable upstreams on which a job must fail to count as faulty.
   static constexpr std::size_t kReliableUpstreamsForFaultyJob = 3;
 
-  /// Workers on which a job must fail before it is marked as bad although none of them is known to be good.
+  /// Upstreams on which a job must fail to count as faulty even if none of them is known to be reliable.
   static constexpr std::size_t kUpstreamsForFaultyJob = 6;
 
   static constexpr Duration kInitialQuarantine = std::chrono::seconds(10);
   static constexpr Duration kMaxQuarantine = std::chrono::minutes(10);
 
-  /// A probe without a result by then does not keep the next probe from starting.
+  /// Time after which a probe without a result no longer prevents the next one.
   static constexpr Duration kProbeTimeout = std::chrono::minutes(5);
 
-  /// Jobs and kinds remembered. The oldest are forgotten first.
+  /// Maximum number of jobs and kinds. The oldest are evicted first.
   static constexpr std::size_t kMaxJobs = 20'000;
   static constexpr std::size_t kMaxKinds = 4096;
 
-  /// Records that a task ended on an upstream. Cancelled and checkpointed tasks are not reported.
+  /// Records that a task succeeded or failed on an upstream. Not for cancelled and checkpointed tasks.
   void OnResult(const UpstreamId& upstream, const TaskSpec& spec, bool succeeded, Time now);
 
-  /// Records that a task starts on an upstream, which makes it the probe if the upstream waits for one.
+  /// Records that a task starts on an upstream. It is the probe if the quarantine of the upstream is over.
   void OnStart(const UpstreamId& upstream, Time now);
 
-  /// Whether a task may start on the upstream: it is not quarantined, or it is due for a probe.
+  /// Whether a task can start on the upstream: it is not quarantined, or a probe is due.
   bool MayStart(const UpstreamId& upstream, Time now) const;
 
-  /// End of the present quarantine, or nothing when the upstream is not quarantined.
+  /// End of the current quarantine, or nothing if the upstream is not quarantined.
   std::optional<Time> QuarantinedUntil(const UpstreamId& upstream) const;
 
-  /// Whether the job failed on enough good workers to be failed for good.
+  /// Whether the job has failed on enough upstreams not to be retried.
   bool IsFaultyJob(const TaskId& task) const;
 
   void RemoveUpstream(const UpstreamId& upstream) { m_histories.erase(upstream); }
@@ -76,8 +77,8 @@
   struct UpstreamHistory {
     std::deque<UpstreamResult> results;
     std::optional<Time> quarantined_until;
-    std::optional<Time> probe_until;  ///< set while a probe runs
-    int consecutive_quarantines = 0;  ///< quarantines in a row
+    std::optional<Time> probe_until;  ///< set while a probe runs, to when it times out
+    int quarantine_count = 0;         ///< since the last full window of successes
   };
   struct Job {
     std::vector<UpstreamId> failed_on;
@@ -103,7 +104,7 @@
   bool IsReliable(const UpstreamId& upstream, Hash excluded_job) const;
 
   std::unordered_map<UpstreamId, UpstreamHistory> m_histories;
-  std::unordered_map<Hash, Job> m_jobs;  ///< jobs that failed at least once
+  std::unordered_map<Hash, Job> m_jobs;  ///< jobs with at least one failure
   std::deque<Hash> m_jobs_by_age;
   std::unordered_map<Hash, Kind> m_kinds;
   std::deque<Hash> m_kinds_by_age;
--- a/src/placement/failure_attribution_test.cc
+++ b/src/placement/failure_attribution_test.cc
@@ -19,7 +19,7 @@
 
 UpstreamId Upstream(int number) { return TestUpstream(number).id; }
 
-/// Guards against good workers quarantined for bad jobs and against jobs failed for bad workers, with both at once.
+/// Guards against upstreams quarantined for faulty jobs, and jobs failed for faulty upstreams, when both occur at once.
 TEST(FailureAttributionTest, DistinguishesFaultyUpstreamsFromFaultyJobs) {
   FailureAttribution attribution;
   std::mt19937_64 random(17);
@@ -47,7 +47,7 @@
   EXPECT_LT(starts_on_faulty, 60);
 }
 
-/// Guards against bursts of starts on a quarantined worker, and against a quarantine that never ends.
+/// Guards against bursts of starts on a quarantined upstream, and against a quarantine that never ends.
 TEST(FailureAttributionTest, ProbesAtDoublingIntervalsUntilOneSucceeds) {
   FailureAttribution attribution;
   int job = 0;
@@ -56,7 +56,7 @@
   Time now = kStart;
   for (const int expected : {10, 20, 40, 80, 160, 320, 600, 600}) {
     ASSERT_EQ(attribution.QuarantinedUntil(Upstream(0)), now + seconds(expected));
-    attribution.OnResult(Upstream(0), Job(job++), true, now);  // started before the quarantine
+    attribution.OnResult(Upstream(0), Job(job++), true, now);  // the task started before the quarantine
     EXPECT_FALSE(attribution.MayStart(Upstream(0), now + seconds(expected) - seconds(1)));
     now += seconds(expected);
     EXPECT_TRUE(attribution.MayStart(Upstream(0), now));
@@ -73,7 +73,7 @@
   EXPECT_TRUE(attribution.MayStart(Upstream(0), now));
 }
 
-/// Guards against quarantine of the whole cluster when a kind of work is broken everywhere.
+/// Guards against quarantine of the whole cluster when a kind of work fails everywhere.
 TEST(FailureAttributionTest, KindThatFailsEverywhereQuarantinesNoUpstream) {
   FailureAttribution attribution;
   for (int job = 0; job < 200; ++job) attribution.OnResult(Upstream(job % 10), Job(job), false, kStart);
--- a/src/placement/fair_share.cc
+++ b/src/placement/fair_share.cc
@@ -8,10 +8,10 @@
 namespace jaymast {
 namespace {
 
-/// The score looks this far ahead. It weighs the present usage against the decayed usage of the past.
+/// Time over which the score projects the current usage. A longer horizon weights past usage less.
 constexpr Duration kScoreHorizon = std::chrono::seconds(60);
 
-/// A team with share 0 is served after all others.
+/// Weight of a team with share 0, which is served after all others.
 constexpr double kMinWeight = 1e-6;
 
 std::array<double, 4> ToAmounts(const Resources& resources) {
--- a/src/placement/fair_share.h
+++ b/src/placement/fair_share.h
@@ -15,10 +15,10 @@
 
 namespace jaymast {
 
-/// Weighted dominant-resource fairness over decayed usage.
+/// Computes weighted dominant-resource fairness over exponentially decayed usage.
 class FairShare {
  public:
-  /// Usage of this long ago counts half. Shorter values forget a team's excess before it is made up for.
+  /// With a shorter half-life a team's excess usage decays before other teams have caught up.
   static constexpr Duration kDefaultHalfLife = std::chrono::minutes(5);
 
   explicit FairShare(Duration half_life = kDefaultHalfLife);
@@ -26,36 +26,36 @@
   void SetWeight(const TeamId& team, std::int64_t share);
   void SetCapacity(const Resources& capacity);
 
-  /// A task of the team began to use capacity.
+  /// Records that a task of the team started to use capacity.
   void AddUsage(const TeamId& team, const Resources& used, Time now);
 
-  /// A task of the team stopped using capacity.
+  /// Records that a task of the team stopped using capacity.
   void RemoveUsage(const TeamId& team, const Resources& used, Time now);
 
-  /// Usage of all tasks of the team as the workers report it. Until the next report, the amounts given to Add and
-  /// Remove are scaled by the ratio of this usage to their sum.
+  /// Records the usage of all tasks of the team as reported by the upstreams. Until the next report, the amounts given
+  /// to AddUsage and RemoveUsage are scaled by the ratio of reported usage to their sum.
   void ReportUsage(const TeamId& team, const Resources& used, Time now);
 
   /// Dominant share of the team divided by its weight. The team with the lowest score is served next.
   ///
-  /// The score is the decayed usage expected at the end of a short horizon if the present usage continues, so that a
-  /// team that has just received capacity steps back at once.
+  /// The share is the decayed usage projected to the end of a short horizon at the current usage, so that newly
+  /// allocated capacity affects the score at once.
   double Score(const TeamId& team, Time now) const;
 
-  /// Sum of the amounts added less those removed.
+  /// Sum of the amounts added minus those removed.
   Resources Used(const TeamId& team) const;
 
-  /// Entitled share of each team, by progressive filling: shares grow in proportion to the weights until the demand is
-  /// met or a resource that the team needs is used up. Share that a team does not demand is lent to the others.
+  /// Computes the entitled share of each team by progressive filling: shares grow in proportion to the weights until
+  /// the demand is met or a resource that the team needs is exhausted. Unused share is distributed to the other teams.
   /// @param demand running and waiting demand of each team
   /// Complexity: quadratic in the number of teams.
   std::map<TeamId, Entitlement> ComputeEntitlements(const std::map<TeamId, Resources>& demand) const;
 
   /// Chooses tasks to checkpoint on one upstream so that a waiting task of a team below its share fits there.
   ///
-  /// Takes only tasks that can be checkpointed, of teams that stay at or above their share without them, the cheapest
-  /// checkpoints first.
-  /// @return the tasks, or none when the team is not entitled to the demand or the bound on victims does not suffice
+  /// Victims can be checkpointed, and their teams stay at or above their share without them. Cheapest checkpoints are
+  /// chosen first.
+  /// @return the victims, or none if the team is not entitled to the demand or it would take more than `max_victims`
   std::vector<AttemptId> ChooseVictims(const PreemptionRequest& request,
                                        const std::vector<PreemptionCandidate>& candidates) const;
 
@@ -67,12 +67,12 @@
   struct Usage {
     double weight = 1.0;
     Resources declared;
-    Amounts ratio{1, 1, 1, 1};  ///< reported over declared usage
+    Amounts ratio{1, 1, 1, 1};  ///< reported usage divided by declared usage
     Amounts decayed{};          ///< at `updated`
     Time updated;
   };
 
-  /// Choice of victims on one upstream.
+  /// Victims on one upstream.
   struct VictimSet {
     std::vector<const PreemptionCandidate*> victims;
     std::int64_t cost_ms = 0;
--- a/src/placement/fair_share_test.cc
+++ b/src/placement/fair_share_test.cc
@@ -15,7 +15,7 @@
 
 TeamId Team(int number) { return TeamId("t" + std::to_string(number)); }
 
-/// Guards against capacity that no team is entitled to while teams want more, and against claims above capacity.
+/// Guards against unallocated capacity while demand is unmet, and against entitlements above capacity.
 TEST(FairShareTest, EntitledSharesSumToCapacityAtSaturation) {
   std::mt19937_64 random(5);
   for (int round = 0; round < 200; ++round) {
@@ -54,7 +54,7 @@
   EXPECT_NEAR(entitled[Team(1)].dominant_share, 0.1, 1e-9);
 }
 
-/// The example of the paper on dominant-resource fairness: 9 processors and 18 GB, demands of (1, 4) and (3, 1).
+/// The example of the dominant-resource fairness paper: 9 processors and 18 GB, demands of (1, 4) and (3, 1).
 TEST(FairShareTest, DominantSharesAreEqualized) {
   FairShare shares;
   shares.SetCapacity({9'000, 18'000, 0, 0});
@@ -80,7 +80,7 @@
   EXPECT_NEAR(shares.Score(Team(0), later + std::chrono::minutes(50)), 0, 0.001);
 }
 
-/// Guards against victims from teams within their share, victims whose work would be lost, and useless checkpoints.
+/// Guards against victims from teams within their share, victims that cannot be checkpointed, and unneeded checkpoints.
 TEST(FairShareTest, VictimsComeOnlyFromTeamsOverTheirShare) {
   std::mt19937_64 random(9);
   int chosen_rounds = 0;
@@ -128,7 +128,7 @@
   EXPECT_GT(chosen_rounds, 200);
 }
 
-/// Guards against a team over its share that takes capacity from others.
+/// Guards against a team at its share that preempts tasks of others.
 TEST(FairShareTest, TeamAtItsShareGetsNoVictims) {
   FairShare shares;
   shares.SetCapacity({0, 0, 0, 10});
--- a/src/placement/fair_share_victims.cc
+++ b/src/placement/fair_share_victims.cc
@@ -7,7 +7,7 @@
 namespace jaymast {
 namespace {
 
-/// Tolerance for shares, which are sums of floating-point steps.
+/// Rounding tolerance for shares, which are sums of floating-point steps.
 constexpr double kTolerance = 1e-9;
 
 double EntitledShareOf(const PreemptionRequest& request, const TeamId& team) {
@@ -15,7 +15,7 @@
   return entitled == request.entitled.end() ? 0.0 : entitled->second.dominant_share;
 }
 
-/// Drops victims that turn out to be unnecessary, the most expensive first.
+/// Removes victims that are not needed for the demand to fit, the most expensive first.
 void DropUnneeded(std::vector<const PreemptionCandidate*>& victims, Resources free, const Resources& demand) {
   for (std::size_t i = victims.size(); i > 0; --i) {
     const Resources without = free - victims[i - 1]->used;
--- a/src/placement/overrun.h
+++ b/src/placement/overrun.h
@@ -13,7 +13,7 @@
 
 namespace jaymast {
 
-/// What to do about a task that runs longer or uses more than expected, mildest first.
+/// Action against a task that exceeds its expected run time or its demand, mildest first.
 enum class OverrunAction { kNone, kThrottle, kCheckpoint, kStop };
 
 template <>
@@ -21,29 +21,28 @@
   static constexpr std::array<std::string_view, 4> kNames = {"none", "throttle", "checkpoint", "stop"};
 };
 
-/// Deadlines of a running task after which it overruns. Made once when the task starts, or when its usage first exceeds
-/// its demand.
+/// Holds the times at which actions against an overrunning task become due. Computed once, when the task starts or when
+/// its usage first exceeds its demand.
 class OverrunDeadlines {
  public:
-  /// A run time counts as an overrun from this multiple of the 90th percentile. One task in ten exceeds the percentile
-  /// itself without any fault.
+  /// Multiples of the estimated run time. The estimate is a 90th percentile, so one normal task in ten exceeds it.
   static constexpr std::int64_t kThrottleMultiple = 2;
   static constexpr std::int64_t kCheckpointMultiple = 3;
   static constexpr std::int64_t kStopMultiple = 4;
 
-  /// Short tasks vary by more than their length, so each step takes at least this long.
+  /// Minimum run time to multiply, because the run times of short tasks vary by more than their length.
   static constexpr Duration kMinStep = std::chrono::seconds(10);
 
-  /// Deadlines for the run time. A service and a task without an estimate never overrun.
+  /// Deadlines for the run time. None for services and tasks without an estimate.
   static OverrunDeadlines ForRunTime(const TaskSpec& spec, const Estimate& estimate, Time started);
 
-  /// Deadlines for usage above the demand: throttled at once, then one step of `grace` each.
+  /// Deadlines for usage above the demand: throttled at once, checkpointed after `grace`, stopped after twice `grace`.
   static OverrunDeadlines ForUsage(Time first_seen, Duration grace);
 
-  /// The strictest action that is due.
+  /// The strictest action due.
   OverrunAction ActionAt(Time now) const;
 
-  /// Time of the next action after `now`, if there is one.
+  /// Time of the next action after `now`, if any.
   std::optional<Time> NextAfter(Time now) const;
 
  private:
@@ -52,7 +51,7 @@
   Time m_stop_at = Time::max();
 };
 
-/// The request to the runner for an action, or nothing for kNone.
+/// Stop mode to request from the runner, or nothing for kNone.
 std::optional<StopMode> ToStopMode(OverrunAction action);
 
 }  // namespace jaymast
--- a/src/placement/packed_resources.h
+++ b/src/placement/packed_resources.h
@@ -7,10 +7,10 @@
 
 namespace jaymast {
 
-/// Resources rounded into one machine word, for a fast first check of whether a demand fits.
+/// Packs rounded resource amounts into one machine word, for a fast conservative check of whether a demand fits.
 ///
-/// Each amount has 15 bits and a guard bit. Free amounts are rounded up and demands down, so the check passes whenever
-/// the demand fits; it may also pass when the demand does not quite fit.
+/// Each amount has 15 bits and a guard bit. Free amounts are rounded up and demands down, so the check has no false
+/// negatives; false positives are possible.
 class PackedResources {
  public:
   static PackedResources OfFree(const Resources& free) {
@@ -18,7 +18,7 @@
   }
   static PackedResources OfDemand(const Resources& demand) { return PackedResources(Pack(demand, 0, 0)); }
 
-  /// Whether this demand may fit into free amounts.
+  /// Whether this demand may fit into the free amounts. False means that it does not fit.
   bool MayFitIn(PackedResources free) const { return ((free.m_bits - m_bits) & kGuards) == kGuards; }
 
   PackedResources() = default;
--- a/src/placement/placement_score.cc
+++ b/src/placement/placement_score.cc
@@ -14,19 +14,19 @@
 
 constexpr std::size_t kKinds = UpstreamTable::kResourceKinds;
 
-/// Workers scored for one decision by policies that compare.
+/// Upstreams scored for one decision by most policies.
 constexpr std::size_t kDefaultSampleSize = 16;
 
-/// Workers scored for a replica of a service. A smaller sample covers two racks of eight workers only.
+/// Upstreams scored for a replica of a service. A sample of 16 covers only two racks of eight.
 constexpr std::size_t kSpreadSampleSize = 32;
 
-/// Workers scored for a preview, which needs a lightly loaded worker and not the best one.
+/// Upstreams scored for a preview, which needs a lightly loaded upstream but not the best one.
 constexpr std::size_t kPreviewSampleSize = 8;
 
-/// Keeps tasks without accelerators away from workers with accelerators while others have room.
+/// Keeps tasks without accelerators off upstreams with accelerators while others have free capacity.
 constexpr double kAcceleratorPenalty = 1.0;
 
-/// One replica more in the rack outweighs any alignment, which is at most 1.
+/// Penalty for each replica in the rack. Outweighs any alignment, which is at most 1.
 constexpr double kRackWeight = 4.0;
 
 constexpr std::array<std::string_view, kKinds> kDemandPaths = {"/demand/cpu_millis", "/demand/memory_mb",
@@ -36,7 +36,7 @@
   return {resources.cpu_millis, resources.memory_mb, resources.accelerators, resources.slots};
 }
 
-/// Alignment of demand and free capacity, as the square of their cosine, less the part of the worker left free.
+/// Squared cosine of demand and free capacity, minus the mean fraction of the upstream that stays free.
 double Alignment(const UpstreamTable::Row& row, const Resources& free, const Resources& demand) {
   const auto free_amounts = Amounts(free);
   const auto demand_amounts = Amounts(demand);
@@ -64,7 +64,7 @@
   return most;
 }
 
-/// The resource whose demand exceeds the most that any worker has by the largest factor, if there is one.
+/// The resource whose demand exceeds the largest capacity by the largest factor, if any.
 std::optional<std::size_t> LargestExcess(const Resources& demand, const std::vector<Resources>& capacities) {
   const auto wanted = Amounts(demand);
   std::optional<std::size_t> binding;
@@ -154,7 +154,7 @@
 Error BindingConstraint(const Resources& demand, const std::vector<Resources>& capacities) {
   const std::optional<std::size_t> largest_excess = LargestExcess(demand, capacities);
   if (largest_excess) return ImpossibleDemandError(*largest_excess, MaxAmount(*largest_excess, capacities));
-  // Each amount fits somewhere. Names the resource without which an upstream would hold the demand.
+  // Each amount fits somewhere. Finds a resource such that an upstream holds the rest of the demand.
   for (std::size_t kind = 0; kind < kKinds; ++kind) {
     std::vector<Resources> holding_rest;
     for (const Resources& capacity : capacities) {
--- a/src/placement/placement_score.h
+++ b/src/placement/placement_score.h
@@ -14,7 +14,7 @@
 
 namespace jaymast {
 
-/// Visitor that scores a worker with room for a task under each policy. The highest score wins.
+/// Scores an upstream that fits a task, as a visitor of the policy. The highest score wins.
 struct PlacementScore {
   const TaskSpec& spec;
   const UpstreamTable::Row& row;
@@ -31,21 +31,21 @@
   double operator()(const StrictPriorityPolicy& policy) const;
 };
 
-/// Most workers that are scored for one decision.
+/// Maximum number of upstreams scored for one decision.
 std::size_t SampleLimit(const PlacementPolicy& policy);
 
-/// Whether the search starts at a random group. Packing policies start at the first group, which keeps later groups
-/// free for large tasks.
+/// Whether the search starts at a random group. Packing policies start at the first group, to keep later groups free
+/// for large tasks.
 bool StartsAtRandomGroup(const PlacementPolicy& policy);
 
-/// The amounts with those below zero raised to zero.
+/// The amounts with negative ones set to 0.
 Resources ClampToZero(const Resources& amount);
 
-/// Number of tasks of the same demand that fit into free capacity, up to a bound.
+/// Number of tasks of the demand that fit into free capacity, at most `most`.
 std::int64_t CountFitting(const Resources& free, const Resources& demand, std::int64_t most);
 
-/// Error that names the resource which excludes a demand from all the given capacities.
-/// @param capacities capacities of workers, not empty, none of which holds the demand
+/// Error that names the resource for which a demand fits into none of the given capacities.
+/// @param capacities capacities of upstreams, not empty
 Error BindingConstraint(const Resources& demand, const std::vector<Resources>& capacities);
 
 }  // namespace jaymast
--- a/src/placement/placer.cc
+++ b/src/placement/placer.cc
@@ -14,8 +14,8 @@
 namespace jaymast {
 namespace {
 
-/// Most workers that fit and that the headroom excludes, before a search gives up. When the headroom is used up, nearly
-/// every worker that fits is excluded, and a search without this bound looks at all of them.
+/// A search ends after this many upstreams that fit but are excluded by the headroom. Without the bound, a search
+/// visits nearly all upstreams when the headroom is exhausted.
 constexpr std::size_t kMaxExcludedUpstreams = 16;
 
 constexpr std::int64_t kPermille = 1000;
@@ -246,7 +246,7 @@
 }
 
 bool Placer::RespectsReservedStart(Index index, const Query& query) const {
-  // A preview ends long before a reserved start matters, also when its run time is not declared.
+  // Previews are short enough not to delay a reserved start, also without a declared run time.
   const bool is_exempt = query.spec.work_class == WorkClass::kPreview;
   if (is_exempt || m_backfill.reservations().empty()) return true;
   return m_backfill.Allows(index, query.task, query.spec.demand, query.expected_end, query.now);
@@ -256,7 +256,7 @@
   const std::int64_t free_previews = m_table.free_previews(index);
   const std::int64_t spare = m_table.total_free_previews() - query.reserved_previews;
   if (free_previews <= std::max<std::int64_t>(spare, 0)) return true;
-  // Almost every task takes room from at least one preview where there is room for previews.
+  // Where previews fit, almost every task displaces at least one.
   if (spare <= 0) return false;
   return free_previews - m_table.PreviewsIn(m_table.schedulable_free(index) - query.spec.demand) <= spare;
 }
@@ -268,13 +268,13 @@
 }
 
 Error Placer::ExplainFailure(const Query& query, const Sample& sample) const {
-  if (m_table.size() == 0) return {ErrorId::kNoCapacity, "/demand", "there is no upstream"};
+  if (m_table.size() == 0) return {ErrorId::kNoCapacity, "/demand", "this entry owns no upstream"};
   if (!query.spec.domain.empty() && !query.domain) {
-    return {ErrorId::kNoCapacity, "/domain", "there is no upstream in the failure domain"};
+    return {ErrorId::kNoCapacity, "/domain", "this entry owns no upstream in the failure domain"};
   }
   if (sample.conflicts_with_reservation) {
     return {ErrorId::kNoCapacity, "/declared_run_ms",
-            "free capacity is reserved for a task that starts before the end"};
+            "free capacity is reserved for another task that starts before the expected end of this one"};
   }
   const std::optional<Error> impossible = FindImpossibleConstraint(query);
   if (impossible) return *impossible;
@@ -292,7 +292,8 @@
     most += shape.upstreams * CountFitting(shape.capacity, demand, wanted);
   }
   if (most > 0 && most < wanted) {
-    return {ErrorId::kDemandImpossible, "/gang_size", fmt::format("the upstreams hold at most {} such members", most)};
+    return {ErrorId::kDemandImpossible, "/gang_size",
+            fmt::format("the upstreams can hold at most {} members of this demand", most)};
   }
   return ExplainFailure(failed, sample);
 }
@@ -301,7 +302,8 @@
   const std::int64_t slots = m_table.capacity().slots;
   const std::int64_t reserved = slots * m_headroom_permille / kPermille;
   if (query.keeps_headroom && query.spec.demand.slots > slots - reserved) {
-    return Error{ErrorId::kDemandImpossible, "/demand/slots", "the other slots are reserved for previews"};
+    return Error{ErrorId::kDemandImpossible, "/demand/slots",
+                 "the demand exceeds the slots that are not reserved for previews"};
   }
   std::vector<Resources> capacities;
   for (const UpstreamTable::Shape& shape : m_table.shapes()) {
@@ -316,7 +318,7 @@
 Time Placer::ExpectedEnd(const TaskSpec& spec, Time now) const {
   if (spec.work_class == WorkClass::kService) return Time::max();
   const std::int64_t run_ms = m_estimator == nullptr ? spec.declared_run_ms : m_estimator->EstimateFor(spec).run_ms;
-  // A task without a known run time must not be taken to end before a reserved start.
+  // A task of unknown run time must not count as ending before a reserved start.
   if (run_ms <= 0) return Time::max();
   return now + std::chrono::milliseconds(run_ms);
 }
--- a/src/placement/placer.h
+++ b/src/placement/placer.h
@@ -25,73 +25,73 @@
 
 class Estimator;
 
-/// Chooses an upstream for a task among the upstreams that this entry owns, and keeps their free capacity.
+/// Chooses upstreams for tasks among those that this entry owns, and tracks their free capacity.
 ///
-/// A decision filters groups of workers and then scores a bounded sample of the workers that fit.
+/// A decision filters groups of upstreams and then scores a bounded sample of the upstreams that fit.
 class Placer {
  public:
-  /// Part of the slots that work other than previews leaves free, in thousandths.
+  /// Headroom: part of the slots, in thousandths, that is kept free for previews.
   static constexpr std::int64_t kDefaultHeadroomPermille = 50;
 
   explicit Placer(std::uint64_t seed);
 
-  /// Selects the policy of each class of work by name. A class without a known name gets its default policy.
+  /// Sets the policy of each class of work by name. Classes without a known name get their default policy.
   void SetPolicies(const std::map<WorkClass, std::string>& policies);
 
-  /// Sets the capacity that work other than previews leaves free.
-  /// @param slots_permille reserved previews in thousandths of the slots of the eligible upstreams
+  /// Sets the capacity that is kept free for previews.
+  /// @param slots_permille previews to keep free, in thousandths of the slots of the schedulable upstreams
   /// @param unit demand of one preview
   void SetHeadroom(std::int64_t slots_permille, const Resources& preview_demand);
 
-  /// Uses learned run times for backfill in place of declared ones. The estimator must outlive the placer.
+  /// Uses learned instead of declared run times. The estimator must outlive the placer.
   void SetEstimator(const Estimator* estimator) { m_estimator = estimator; }
 
-  /// Adds an upstream, or updates its capacity. Reservations on a known upstream are kept.
+  /// Adds or updates an upstream. An update keeps the reserved capacity.
   void PutUpstream(const UpstreamInfo& info);
   void RemoveUpstream(const UpstreamId& id);
 
-  /// An upstream that is not eligible gets no new task; its reservations stay.
+  /// Sets whether the upstream gets new tasks. Its reserved capacity is kept.
   void SetEligible(const UpstreamId& id, bool eligible);
 
-  /// Limits starts in a failure domain that has come back into service.
-  /// @param until the limit ends then
+  /// Limits starts in a failure domain that has returned to service.
+  /// @param until end of the limit
   void LimitStarts(const DomainId& domain, Time until, std::int64_t starts_per_second, Time now);
 
   /// Chooses an upstream without reserving it.
   /// @return the upstream, or an error with the path of the binding constraint: kNoCapacity when the task may fit
   /// later (path /declared_run_ms when a shorter task would fit before a reserved start), kDemandImpossible when no
   /// upstream of this placer could hold it even if it were empty
-  /// Complexity: bounded by the sample, plus one comparison for each 16 workers.
+  /// Complexity: bounded by the sample, plus one comparison for each 16 upstreams.
   Result<UpstreamId> Choose(const TaskSpec& spec, Time now);
 
-  /// Chooses upstreams for all members of a gang without reserving them, or for none.
+  /// Chooses upstreams for all members of a gang without reserving them.
   /// @return one upstream for each member in order, or the error of the first member that does not fit
   Result<std::vector<UpstreamId>> ChooseGang(const std::vector<TaskSpec>& members, Time now);
 
   void Reserve(const UpstreamId& id, const TaskSpec& spec, Time now);
   void Release(const UpstreamId& id, const TaskSpec& spec, Time now);
 
-  /// Reserves a start for a blocked task, so that tasks behind it are placed only if they do not delay it.
-  /// @return the expected start, or nothing when no start can be reserved
+  /// Reserves a start for a blocked task. Other tasks are then placed only if they do not delay it.
+  /// @return the expected start, or nothing if none can be reserved
   std::optional<Time> ReserveStart(const TaskSpec& spec, Time now);
   void CancelReservedStart(const TaskSpec& spec);
 
-  /// Sum of the free capacity of all eligible upstreams.
+  /// Sum of the free capacity of all schedulable upstreams.
   Resources Free() const;
 
-  /// Free capacity of the eligible upstream with the most free processors.
+  /// Free capacity of the schedulable upstream with the most free processors.
   Resources LargestFree() const;
 
   Resources TotalCapacity() const { return m_table.capacity(); }
   Resources Used(const UpstreamId& id) const;
 
-  /// Previews that are kept free from other work at present.
+  /// Number of previews for which capacity is kept free.
   std::int64_t ReservedPreviews() const;
 
-  /// Previews that fit into the eligible upstreams at present.
+  /// Number of previews that fit into the schedulable upstreams now.
   std::int64_t FreePreviews() const { return m_table.total_free_previews(); }
 
-  /// Approximate size of the state in bytes.
+  /// Approximate size of the state.
   std::size_t MemoryBytes() const;
 
  private:
@@ -112,8 +112,8 @@
   /// Candidates found so far.
   struct Sample {
     std::size_t scored = 0;
-    std::size_t excluded_by_headroom = 0;     ///< workers with room that the headroom excludes
-    bool conflicts_with_reservation = false;  ///< a worker with room has a reserved start that the task would delay
+    std::size_t excluded_by_headroom = 0;     ///< upstreams that fit but would use the headroom
+    bool conflicts_with_reservation = false;  ///< the task would delay a reserved start
     std::optional<Index> best;
     double best_score = 0;
   };
@@ -143,7 +143,7 @@
   ReplicaCounts m_replica_counts;
   StartRateLimiter m_start_limiter;
   const Estimator* m_estimator = nullptr;
-  Index m_resume_group = 0;  ///< where the next search starts, after one gave up at the headroom
+  Index m_resume_group = 0;  ///< first group of the next search, after one ended at kMaxExcludedUpstreams
   std::int64_t m_headroom_permille = kDefaultHeadroomPermille;
 };
 
--- a/src/placement/placer_test.cc
+++ b/src/placement/placer_test.cc
@@ -33,7 +33,7 @@
   return placed;
 }
 
-/// Guards against use above capacity, and starts on upstreams that are not eligible, under every policy.
+/// Guards against allocations above capacity, and placements on ineligible upstreams, under every policy.
 TEST(PlacerTest, RandomWorkNeverExceedsCapacityAndNeverUsesIneligibleUpstreams) {
   for (const char* policy : {"best-fit", "spread", "headroom", "gang", "first-fit", "random", "strict-priority"}) {
     Placer placer(7);
@@ -72,7 +72,7 @@
   }
 }
 
-/// Guards against a search that gives up while a worker with room exists.
+/// Guards against a search that ends without finding the only upstream that fits.
 TEST(PlacerTest, FindsTheOnlyUpstreamWithFreeCapacity) {
   Placer placer(1);
   placer.SetHeadroom(0, kSmall);
@@ -85,7 +85,7 @@
   EXPECT_EQ(*chosen, TestUpstream(137).id);
 }
 
-/// Guards against work of other classes that takes the slots reserved for previews.
+/// Guards against tasks of other classes that use the headroom of previews.
 TEST(PlacerTest, HeadroomIsKeptFreeForPreviews) {
   Placer placer(1);
   const Resources preview_demand{2'000, 2'048, 0, 1};
@@ -119,7 +119,7 @@
   EXPECT_EQ(later.error().id, ErrorId::kNoCapacity);
 }
 
-/// Guards against tasks placed outside the only failure domain they may run in.
+/// Guards against tasks placed outside their required failure domain.
 TEST(PlacerTest, TaskWithDomainStaysInIt) {
   Placer placer(1);
   placer.SetHeadroom(0, kSmall);
@@ -149,7 +149,7 @@
   EXPECT_EQ(racks.size(), 9U);
 }
 
-/// Guards against part of a gang being held when the rest does not fit.
+/// Guards against capacity that stays allocated to a gang of which some members do not fit.
 TEST(PlacerTest, GangIsPlacedAllOrNothing) {
   Placer placer(1);
   placer.SetHeadroom(0, kSmall);
@@ -165,7 +165,7 @@
   EXPECT_EQ(placer.ChooseGang(gang, kStart).error().id, ErrorId::kNoCapacity);
 }
 
-/// Guards against a burst of starts on a failure domain that has just come back.
+/// Guards against a burst of starts in a failure domain that has just returned to service.
 TEST(PlacerTest, StartsOnReturnedDomainAreRateLimited) {
   Placer placer(1);
   AddUpstreams(placer, 60);
@@ -211,7 +211,7 @@
   EXPECT_TRUE(chosen) << chosen.error().reason;
 }
 
-/// Guards against reservations that outlive a wrong estimate and keep a worker empty.
+/// Guards against reservations that keep an upstream empty after a wrong estimate.
 TEST(PlacerTest, UnusedReservationExpires) {
   Placer placer(1);
   placer.SetHeadroom(0, kSmall);
@@ -223,7 +223,7 @@
   EXPECT_TRUE(placer.Choose(service, kStart + seconds(31)));
 }
 
-/// Guards against counts that drift when the platform's list changes while work runs.
+/// Guards against totals that drift when the platform changes an upstream while tasks run.
 TEST(PlacerTest, UpstreamUpdatesKeepReservationsAndTotals) {
   Placer placer(1);
   AddUpstreams(placer, 20);
--- a/src/placement/preemption.h
+++ b/src/placement/preemption.h
@@ -10,23 +10,23 @@
 
 namespace jaymast {
 
-/// What a team is entitled to when every team with demand gets its weighted share.
+/// Share of the cluster that a team is entitled to by weighted fairness.
 struct Entitlement {
-  double dominant_share = 0;  ///< part of the cluster's capacity of the team's dominant resource, 0 to 1
+  double dominant_share = 0;  ///< fraction of the cluster's capacity of the dominant resource, 0 to 1
   Resources amount;
 };
 
-/// A running task that may be checkpointed to give capacity back.
+/// A running task that may be checkpointed to free capacity.
 struct PreemptionCandidate {
   AttemptId id;
   TeamId team;
   UpstreamId upstream;
   Resources used;
-  std::int64_t checkpoint_ms = 0;  ///< expected time to checkpoint and to restore
-  bool can_checkpoint = false;     ///< false when a stop would lose the work done so far
+  std::int64_t checkpoint_ms = 0;  ///< expected time to checkpoint and restore
+  bool can_checkpoint = false;     ///< if false, stopping the task would lose its progress
 };
 
-/// Capacity wanted by a team below its entitled share.
+/// Demand of a team below its entitled share.
 struct PreemptionRequest {
   TeamId team;
   Resources demand;
--- a/src/placement/progressive_filling.cc
+++ b/src/placement/progressive_filling.cc
@@ -6,7 +6,7 @@
 namespace jaymast {
 namespace {
 
-/// Parts of capacity below this are rounding errors.
+/// Fractions of capacity below this are rounding errors.
 constexpr double kTolerance = 1e-12;
 
 }  // namespace
@@ -18,7 +18,7 @@
   teams.reserve(participants.size());
   for (const Participant& participant : participants) teams.push_back(Normalise(participant));
   Amounts remaining{1, 1, 1, 1};
-  // Each step satisfies a team or uses up a resource.
+  // Each step satisfies a team or exhausts a resource.
   for (std::size_t step = 0; step < teams.size() + remaining.size(); ++step) {
     const Amounts rates = ComputeRates(teams);
     const double growth = NextStep(teams, rates, remaining);
--- a/src/placement/progressive_filling.h
+++ b/src/placement/progressive_filling.h
@@ -6,13 +6,12 @@
 
 namespace jaymast {
 
-/// Progressive filling of dominant shares, which yields the weighted dominant-resource fair allocation of divisible
-/// demands.
+/// Computes the weighted dominant-resource fair allocation of divisible demands by progressive filling.
 class ProgressiveFilling {
  public:
   using Amounts = std::array<double, 4>;
 
-  /// Demand of one team and the weight of its share.
+  /// Demand and weight of one team.
   struct Participant {
     double weight = 1;
     Amounts demand{};
@@ -20,15 +19,15 @@
 
   explicit ProgressiveFilling(const Amounts& capacity);
 
-  /// @return dominant share of each claim, in the order of the claims
+  /// @return dominant share of each participant, in the same order
   std::vector<double> Fill(const std::vector<Participant>& participants) const;
 
  private:
   struct Team {
     double weight = 1;
-    double wanted_share = 0;   ///< dominant share of the whole demand
+    double wanted_share = 0;   ///< dominant share of the full demand
     double share = 0;          ///< dominant share so far
-    Amounts per_unit_share{};  ///< part of each resource used for each unit of dominant share
+    Amounts per_unit_share{};  ///< fraction of each resource per unit of dominant share
     bool active = false;
   };
 
--- a/src/placement/replica_counts.cc
+++ b/src/placement/replica_counts.cc
@@ -7,7 +7,7 @@
 namespace jaymast {
 namespace {
 
-/// Odd multiplier that keeps the hashes of team and kind apart when they are combined.
+/// Odd multiplier that makes the combined hash depend on the order of team and kind.
 constexpr std::uint64_t kTeamHashMultiplier = 0x9e3779b97f4a7c15;
 
 }  // namespace
@@ -43,20 +43,20 @@
   return bytes;
 }
 
-void ReplicaCounts::Adjust(std::vector<Count>& counts, Index location, std::int32_t change) {
-  const auto same = [location](const Count& count) { return count.location == location; };
+void ReplicaCounts::Adjust(std::vector<Count>& counts, Index place, std::int32_t change) {
+  const auto same = [place](const Count& count) { return count.place == place; };
   const auto known = std::find_if(counts.begin(), counts.end(), same);
   if (known == counts.end()) {
-    if (change > 0) counts.push_back({location, change});
+    if (change > 0) counts.push_back({place, change});
     return;
   }
   known->replicas += change;
   if (known->replicas <= 0) counts.erase(known);
 }
 
-std::int32_t ReplicaCounts::CountAt(const std::vector<Count>& counts, Index location) {
+std::int32_t ReplicaCounts::CountAt(const std::vector<Count>& counts, Index place) {
   for (const Count& count : counts) {
-    if (count.location == location) return count.replicas;
+    if (count.place == place) return count.replicas;
   }
   return 0;
 }
--- a/src/placement/replica_counts.h
+++ b/src/placement/replica_counts.h
@@ -10,7 +10,7 @@
 
 namespace jaymast {
 
-/// Number of running replicas of each service per failure domain and rack. A service is a team's kind of work.
+/// Counts the running replicas of each service per failure domain and rack. A service is a kind of work of one team.
 class ReplicaCounts {
  public:
   using Index = UpstreamTable::Index;
@@ -27,7 +27,7 @@
 
  private:
   struct Count {
-    Index location = 0;
+    Index place = 0;  ///< index of a failure domain or rack
     std::int32_t replicas = 0;
   };
   struct Service {
@@ -35,8 +35,8 @@
     std::vector<Count> racks;
   };
 
-  static void Adjust(std::vector<Count>& counts, Index location, std::int32_t change);
-  static std::int32_t CountAt(const std::vector<Count>& counts, Index location);
+  static void Adjust(std::vector<Count>& counts, Index place, std::int32_t change);
+  static std::int32_t CountAt(const std::vector<Count>& counts, Index place);
 
   std::unordered_map<ServiceKey, Service> m_services;
 };
--- a/src/placement/start_rate_limiter.h
+++ b/src/placement/start_rate_limiter.h
@@ -8,12 +8,12 @@
 
 namespace jaymast {
 
-/// Limits the rate of starts in failure domains that have just come back into service.
+/// Limits the rate of starts in failure domains that have just returned to service.
 class StartRateLimiter {
  public:
   using Index = UpstreamTable::Index;
 
-  /// Limits a domain to `starts_per_second` until a point in time. A later call replaces an earlier one.
+  /// Limits a domain to `starts_per_second`, at least 1, until `until`. Replaces an earlier limit of the domain.
   void SetLimit(Index domain, Time until, std::int64_t starts_per_second, Time now);
 
   bool MayStart(Index domain, Time now) const;
--- a/src/placement/test_cluster.h
+++ b/src/placement/test_cluster.h
@@ -8,7 +8,7 @@
 
 namespace jaymast {
 
-/// Worker with 32 processors, 128 GB and 8 slots, eight workers to a rack and three failure domains.
+/// Upstream with 32 processors, 128 GB and 8 slots, in one of three failure domains with eight upstreams per rack.
 inline UpstreamInfo TestUpstream(int number) {
   UpstreamInfo info;
   info.id = UpstreamId("u" + std::to_string(number));
--- a/src/placement/upstream_table.cc
+++ b/src/placement/upstream_table.cc
@@ -111,7 +111,7 @@
 }
 
 std::size_t UpstreamTable::MemoryBytes() const {
-  constexpr std::size_t kHashNodeBytes = 64;  // a node with its key, an index and a bucket pointer
+  constexpr std::size_t kHashNodeBytes = 64;  // node with key, index and bucket pointer
   const std::size_t names = m_index.size() + m_domains.size() + m_racks.size();
   return m_schedulable_free.capacity() * (sizeof(Resources) + sizeof(PackedResources) + sizeof(std::int32_t)) +
          m_rows.capacity() * sizeof(Row) + m_ids.capacity() * sizeof(UpstreamId) + m_groups.capacity() * sizeof(Group) +
--- a/src/placement/upstream_table.h
+++ b/src/placement/upstream_table.h
@@ -15,10 +15,11 @@
 
 namespace jaymast {
 
-/// Capacity and use of workers in contiguous arrays indexed by small integers.
+/// Stores capacity and allocations of upstreams in contiguous arrays indexed by small integers.
 ///
-/// Workers are stored in groups of one failure domain each. A group keeps the largest free amount of each resource over
-/// its open workers, so that a search passes over a group without looking at its workers.
+/// Each group of rows belongs to one failure domain and keeps the largest free amount of each resource, so that a
+/// search can skip a whole group. An upstream is schedulable if it may get new tasks: eligible, not leaving and below
+/// its limit of connections.
 class UpstreamTable {
  public:
   using Index = std::uint32_t;
@@ -30,9 +31,9 @@
     Resources capacity;
     Resources used;
     std::array<double, kResourceKinds> inverse{};  ///< 1 / capacity, 0 where there is no capacity
-    std::int64_t schedulable_slots = 0;            ///< slots, free or used, 0 when closed
+    std::int64_t schedulable_slots = 0;            ///< free and used slots, 0 if not schedulable
     std::int64_t tasks = 0;
-    std::int64_t connections = 0;  ///< most tasks at once, 0 when unlimited
+    std::int64_t connections = 0;  ///< maximum number of tasks, 0 if unlimited
     Index domain = 0;
     Index rack = 0;
     bool present = false;
@@ -53,7 +54,7 @@
   void Allocate(Index index, const Resources& demand);
   void Free(Index index, const Resources& demand);
 
-  /// Demand of one preview, which is the unit in which headroom is counted.
+  /// Sets the demand of one preview. Headroom is counted in previews.
   void SetPreviewDemand(const Resources& preview_demand);
 
   std::optional<Index> Find(const UpstreamId& id) const;
@@ -61,33 +62,36 @@
   const UpstreamId& id(Index index) const { return m_ids[index]; }
   const Row& row(Index index) const { return m_rows[index]; }
 
-  /// Free capacity of a worker that may get new tasks. All amounts are negative when it may not.
+  /// Free capacity of an upstream. All amounts are negative if it is not schedulable.
   const Resources& schedulable_free(Index index) const { return m_schedulable_free[index]; }
 
-  /// Whether a demand fits into the free capacity of a worker that may get new tasks.
+  /// Whether the upstream is schedulable and the demand fits into its free capacity.
   bool Fits(Index index, const Resources& demand, PackedResources packed_demand) const {
     return packed_demand.MayFitIn(m_packed[index]) && demand.FitsIn(m_schedulable_free[index]);
   }
 
-  /// Previews that fit into a worker now, 0 when it may not get new tasks.
+  /// Number of previews that fit into the upstream now, 0 if it is not schedulable.
   std::int64_t free_previews(Index index) const { return m_free_previews[index]; }
 
   const std::vector<Group>& groups() const { return m_groups; }
   std::size_t size() const { return m_index.size(); }
+
+  /// Number of rows, including unoccupied ones.
   std::size_t slots() const { return m_rows.size(); }
+
   std::size_t domain_count() const { return m_domains.size(); }
   const Resources& capacity() const { return m_capacity; }
 
-  /// Number of previews that fit into the open workers now.
+  /// Number of previews that fit into the schedulable upstreams now.
   std::int64_t total_free_previews() const { return m_total_free_previews; }
 
-  /// Slots of the open workers, free or used.
+  /// Free and used slots of the schedulable upstreams.
   std::int64_t schedulable_slots() const { return m_schedulable_slots; }
 
   /// Number of previews that fit into an amount of free capacity.
   std::int64_t PreviewsIn(const Resources& free) const;
 
-  /// Different capacities of the workers with the number of workers of each, for checks of impossible demands.
+  /// A distinct capacity and its number of upstreams, to detect impossible demands.
   struct Shape {
     Resources capacity;
     Index domain = 0;
