--- a/src/core/views.cc
+++ b/src/core/views.cc
@@ -55,7 +55,7 @@
   json::array upstreams;
   const ClusterConfig& config = node.config().config();
   for (const UpstreamInfo& info : node.instances().upstreams) {
-    const auto owner = node.ownership().OwnerOf(info.id);
+    const auto owner = node.ownership().FindOwner(info.id);
     json::object object = ToJson(info);
     object["out"] = config.upstreams_out.contains(info.id) || config.domains_out.contains(info.domain);
     object["owner"] = owner ? owner->value() : std::string();
@@ -73,7 +73,7 @@
 }
 
 json::object TaskRow(const HomeTask& task) {
-  const bool has_ended = task.phase == TaskPhase::kEnded;
+  const bool has_ended = task.phase == HomeTaskPhase::kEnded;
   return {{"id", task.spec.id.value()},
           {"team", task.spec.team.value()},
           {"kind", task.spec.kind},
@@ -131,7 +131,7 @@
                                       {"domain", peer.record.domain.value()},
                                       {"state", ToString(peer.record.state)},
                                       {"config_version", peer.record.config_version},
-                                      {"heard", node.membership().IsHeard(id)}});
+                                      {"heard", node.membership().HasRecentHeartbeat(id)}});
   }
   return entries;
 }
@@ -153,7 +153,7 @@
   json::object object = TaskRow(task);
   const Resources free = node.executor().placer().Free();
   const std::int64_t used = node.allotments().Used(task.spec.team);
-  object["reason"] = task.phase == TaskPhase::kEnded ? task.end.output : task.wait_reason;
+  object["reason"] = task.phase == HomeTaskPhase::kEnded ? task.end.output : task.wait_reason;
   object["demand"] = ToJson(task.spec.demand);
   object["free_here"] = ToJson(free);
   object["team_running_here"] = used;
--- a/src/tasks/task_adoption.cc
+++ b/src/tasks/task_adoption.cc
@@ -22,17 +22,18 @@
       if (m_adopted.insert(home).second) LoadJournal(home);
       continue;
     }
-    if (!m_membership.HasRecord(adopter)) AdoptOrphan(home, row.version);
+    if (!m_membership.HasLeaseRecord(adopter)) AdoptOrphan(home, row.version);
   }
 }
 
 void TaskManager::AdoptOrphan(const EntryId& home, std::int64_t row_version) {
   std::vector<EntryId> candidates = {m_context.self};
   for (const auto& [id, peer] : m_membership.peers()) {
-    if (peer.record.state == EntryState::kServing && m_membership.IsHeard(id)) candidates.push_back(id);
+    if (peer.record.state == EntryState::kServing && m_membership.HasRecentHeartbeat(id)) candidates.push_back(id);
   }
   if (PreferredEntry(home.value(), candidates) != m_context.self) return;
-  m_table.Commit({{AdoptKey(home), row_version}, m_membership.IsMember()}, {{AdoptKey(home), m_context.self.value()}},
+  m_table.Commit({{AdoptKey(home), row_version}, m_membership.MembershipCondition()},
+                 {{AdoptKey(home), m_context.self.value()}},
                  [this, home](CommitOutcome outcome, std::int64_t /*version*/) {
                    const bool is_adopted = outcome == CommitOutcome::kCommitted && m_adopted.insert(home).second;
                    if (is_adopted) LoadJournal(home);
@@ -67,26 +68,26 @@
   HomeTask& task = m_tasks[record.id.task];
   task.attempt = std::max(task.attempt, record.id.attempt);
   switch (record.kind) {
-    case RecordKind::kAccepted:
+    case JournalRecordKind::kAccepted:
       task.spec = record.spec;
       task.accepted_at = m_context.Now();
-      task.phase = TaskPhase::kQueued;
+      task.phase = HomeTaskPhase::kQueued;
       return;
-    case RecordKind::kClaimed:
+    case JournalRecordKind::kClaimed:
       task.owner = record.owner;
       task.upstream = record.upstream;
       task.domain = record.domain;
       task.epoch = record.epoch;
       task.is_claimed = true;
-      task.phase = TaskPhase::kStarted;
+      task.phase = HomeTaskPhase::kStarted;
       return;
-    case RecordKind::kReleased:
+    case JournalRecordKind::kReleased:
       task.checkpoint = record.checkpoint;
-      task.phase = TaskPhase::kQueued;
+      task.phase = HomeTaskPhase::kQueued;
       return;
-    case RecordKind::kEnded:
+    case JournalRecordKind::kEnded:
       task.end = record.end;
-      task.phase = TaskPhase::kEnded;
+      task.phase = HomeTaskPhase::kEnded;
       return;
   }
 }
@@ -94,17 +95,17 @@
 void TaskManager::ResumeAdopted(const std::set<TaskId>& tasks) {
   for (const TaskId& id : tasks) {
     HomeTask& task = m_tasks.at(id);
-    if (task.phase == TaskPhase::kQueued) task.attempt += kAdoptedAttemptGap;
+    if (task.phase == HomeTaskPhase::kQueued) task.attempt += kAdoptedAttemptGap;
     if (!task.spec.gang.empty()) m_gangs[task.spec.gang].insert(id);
   }
   for (const TaskId& id : tasks) {
     HomeTask& task = m_tasks.at(id);
-    if (task.phase == TaskPhase::kEnded) {
+    if (task.phase == HomeTaskPhase::kEnded) {
       Retain(id);
-    } else if (task.phase == TaskPhase::kStarted) {
+    } else if (task.phase == HomeTaskPhase::kStarted) {
       m_started.insert(id);
       Probe(task);
-    } else if (task.phase == TaskPhase::kQueued) {
+    } else if (task.phase == HomeTaskPhase::kQueued) {
       // A member of a gang may have been dispatched with another member already.
       Enqueue(task);
     }
