--- a/src/placement/admission_queue.h
+++ b/src/placement/admission_queue.h
@@ -79,7 +79,7 @@
   /// @return false if the queue is full and the task was not added
   bool Push(WaitingTask task);
 
-  /// Complexity: logarithmic in the size of the queue.
+  /// Complexity: logarithmic in the size of the queue, so that cancelling many tasks stays cheap.
   void Erase(const AttemptId& id);
 
   std::size_t size() const { return m_positions.size(); }
--- a/src/placement/backfill.h
+++ b/src/placement/backfill.h
@@ -43,7 +43,6 @@
   std::optional<Reservation> Reserve(const UpstreamTable& table, TaskHash task, const Resources& demand,
                                      std::optional<Index> domain, Time now);
   void Cancel(TaskHash task);
-
   void Expire(Time now);
 
   /// Whether a task can start on the upstream without delaying a reserved start.
--- a/src/placement/estimator_test.cc
+++ b/src/placement/estimator_test.cc
@@ -14,7 +14,7 @@
 
 constexpr Time kStart = TimeFromMicros(0);
 
-/// Guards against estimates that follow declared values wrong by 10x, or a single outlier.
+/// Guards against estimates that follow a single outlier, or declared values that are wrong by 10x.
 TEST(EstimatorTest, LearnsNinetiethPercentileFromWrongDeclarations) {
   Estimator estimator;
   const TaskSpec spec = TestTask("t", WorkClass::kBatch, {1'000, 1'000, 0, 1});
--- a/src/placement/placer.cc
+++ b/src/placement/placer.cc
@@ -101,16 +101,14 @@
   AllocateOn(*index, spec, now);
   CancelReservedStart(spec);
   m_start_limiter.OnStart(m_table.row(*index).domain, now);
-  if (spec.work_class == WorkClass::kService)
-    m_replica_counts.AddReplicas(ReplicaCounts::KeyOf(spec), m_table.row(*index), 1);
+  if (spec.work_class == WorkClass::kService) m_replicas.Add(ReplicaCounts::KeyOf(spec), m_table.row(*index), 1);
 }
 
 void Placer::Release(const UpstreamId& id, const TaskSpec& spec, Time /*now*/) {
   const auto index = m_table.Find(id);
   if (!index) return;
   FreeOn(*index, spec);
-  if (spec.work_class == WorkClass::kService)
-    m_replica_counts.AddReplicas(ReplicaCounts::KeyOf(spec), m_table.row(*index), -1);
+  if (spec.work_class == WorkClass::kService) m_replicas.Add(ReplicaCounts::KeyOf(spec), m_table.row(*index), -1);
 }
 
 std::optional<Time> Placer::ReserveStart(const TaskSpec& spec, Time now) {
@@ -151,7 +149,7 @@
 std::int64_t Placer::ReservedPreviews() const { return m_table.schedulable_slots() * m_headroom_permille / kPermille; }
 
 std::size_t Placer::MemoryBytes() const {
-  return sizeof(*this) + m_table.MemoryBytes() + m_backfill.MemoryBytes() + m_replica_counts.MemoryBytes();
+  return sizeof(*this) + m_table.MemoryBytes() + m_backfill.MemoryBytes() + m_replicas.MemoryBytes();
 }
 
 const PlacementPolicy& Placer::PolicyOf(const TaskSpec& spec) const {
@@ -186,9 +184,8 @@
   const ReplicaCounts::ServiceKey service = ReplicaCounts::KeyOf(query.spec);
   std::vector<Index> domains(m_table.domain_count());
   std::iota(domains.begin(), domains.end(), 0);
-  std::stable_sort(domains.begin(), domains.end(), [&](Index a, Index b) {
-    return m_replica_counts.InDomain(service, a) < m_replica_counts.InDomain(service, b);
-  });
+  std::stable_sort(domains.begin(), domains.end(),
+                   [&](Index a, Index b) { return m_replicas.InDomain(service, a) < m_replicas.InDomain(service, b); });
   Query in_domain = query;
   for (const Index domain : domains) {
     in_domain.domain = domain;
@@ -262,8 +259,7 @@
 }
 
 double Placer::Score(Index index, const Query& query) {
-  const PlacementScore score{query.spec, m_table.row(index), m_table.schedulable_free(index), m_replica_counts,
-                             m_random};
+  const PlacementScore score{query.spec, m_table.row(index), m_table.schedulable_free(index), m_replicas, m_random};
   return std::visit(score, query.policy);
 }
 
--- a/src/placement/placer.h
+++ b/src/placement/placer.h
@@ -40,7 +40,7 @@
 
   /// Sets the capacity that is kept free for previews.
   /// @param slots_permille previews to keep free, in thousandths of the slots of the schedulable upstreams
-  /// @param unit demand of one preview
+  /// @param preview_demand demand of one preview
   void SetHeadroom(std::int64_t slots_permille, const Resources& preview_demand);
 
   /// Uses learned instead of declared run times. The estimator must outlive the placer.
@@ -140,7 +140,7 @@
   std::array<PlacementPolicy, EnumNames<WorkClass>::kNames.size()> m_policies;
   UpstreamTable m_table;
   Backfill m_backfill;
-  ReplicaCounts m_replica_counts;
+  ReplicaCounts m_replicas;
   StartRateLimiter m_start_limiter;
   const Estimator* m_estimator = nullptr;
   Index m_resume_group = 0;  ///< first group of the next search, after one ended at kMaxExcludedUpstreams
--- a/src/placement/replica_counts.cc
+++ b/src/placement/replica_counts.cc
@@ -16,7 +16,7 @@
   return StableHash(spec.team.value()) * kTeamHashMultiplier + StableHash(spec.kind);
 }
 
-void ReplicaCounts::AddReplicas(ServiceKey service, const UpstreamTable::Row& row, std::int32_t change) {
+void ReplicaCounts::Add(ServiceKey service, const UpstreamTable::Row& row, std::int32_t change) {
   Service& counts = m_services[service];
   Adjust(counts.domains, row.domain, change);
   Adjust(counts.racks, row.rack, change);
--- a/src/placement/replica_counts.h
+++ b/src/placement/replica_counts.h
@@ -18,7 +18,7 @@
 
   static ServiceKey KeyOf(const TaskSpec& spec);
 
-  void AddReplicas(ServiceKey service, const UpstreamTable::Row& row, std::int32_t change);
+  void Add(ServiceKey service, const UpstreamTable::Row& row, std::int32_t change);
 
   std::int32_t InDomain(ServiceKey service, Index domain) const;
   std::int32_t InRack(ServiceKey service, Index rack) const;
