--- a/src/configuration/plan_service.cc
+++ b/src/configuration/plan_service.cc
@@ -20,13 +20,13 @@
 namespace json = boost::json;
 
 /// A change is to be in force everywhere within this time; a confirmation that is not answers with who is missing.
-constexpr Duration kInForceTarget = std::chrono::seconds(3);
+constexpr Duration kAcknowledgementTimeout = std::chrono::seconds(3);
 constexpr Duration kCheckInterval = std::chrono::milliseconds(100);
 
 std::string PlanKey(const PlanId& id) { return "plan/" + id.value(); }
 std::string ConfirmedKey(const PlanId& id) { return std::string(kConfirmedPrefix) + id.value(); }
 
-json::object EncodeIntents(std::int64_t base_version, const std::vector<Intent>& intents) {
+json::object EncodePlan(std::int64_t base_version, const std::vector<Intent>& intents) {
   json::array array;
   for (const Intent& intent : intents) array.emplace_back(ToJson(intent));
   return {{"base_version", base_version}, {"intents", std::move(array)}};
@@ -37,7 +37,7 @@
   std::vector<Intent> intents;
 };
 
-Result<StoredPlan> DecodeIntents(const std::string& text) {
+Result<StoredPlan> DecodePlan(const std::string& text) {
   const Result<json::object> object = ParseObject(text, "plan");
   if (!object) return object.error();
   StoredPlan plan;
@@ -89,11 +89,11 @@
 void PlanService::StorePlan(RequestId request, const jaymast::Plan& plan, int status, const std::string& note) {
   jaymast::Plan stored = plan;
   stored.id = PlanId(fmt::format("{}-p{}", m_context.self.value(), m_next_plan++));
-  const std::string text = json::serialize(EncodeIntents(stored.base_version, stored.intents));
-  ++m_open_plans;
+  const std::string text = json::serialize(EncodePlan(stored.base_version, stored.intents));
+  ++m_open_transactions;
   m_table.Commit({{PlanKey(stored.id), 0}}, {{PlanKey(stored.id), text}},
                  [this, request, stored, status, note](CommitOutcome outcome, std::int64_t /*version*/) {
-                   --m_open_plans;
+                   --m_open_transactions;
                    if (outcome != CommitOutcome::kCommitted) {
                      return Fail(request, kStatusUnavailable,
                                  Error{ErrorId::kStoreUnavailable, "", "the plan could not be stored"},
@@ -115,9 +115,9 @@
 void PlanService::Confirm(RequestId request, const PlanId& plan, std::int64_t base_version) {
   ReadRequest read;
   read.keys = {PlanKey(plan), ConfirmedKey(plan), std::string(kConfigKey)};
-  ++m_open_plans;
+  ++m_open_transactions;
   m_table.Read(read, [this, request, plan, base_version](const ReadReply& reply) {
-    --m_open_plans;
+    --m_open_transactions;
     OnPlanRead(request, plan, base_version, reply);
   });
 }
@@ -137,17 +137,17 @@
     return Fail(request, kStatusNotFound, Error{ErrorId::kPlanUnknown, id.value(), "no such plan, or confirmed before"},
                 Verdict::kNotRun);
   }
-  const Result<StoredPlan> stored = DecodeIntents(plan_row->value);
+  const Result<StoredPlan> stored = DecodePlan(plan_row->value);
   if (!stored) return Fail(request, kStatusBadRequest, stored.error(), Verdict::kNotRun);
   const bool is_current =
       stored->base_version == m_config.config().version && base_version == m_config.config().version;
-  if (!is_current) return Conflict(request, stored->intents);
+  if (!is_current) return ReplaceStalePlan(request, stored->intents);
   const Result<jaymast::Plan> plan = MakePlan(m_config.config(), stored->intents, m_hooks.facts());
   if (!plan) return Fail(request, kStatusBadRequest, plan.error(), Verdict::kNotRun);
   CommitPlan(request, id, plan_row->version, *plan);
 }
 
-void PlanService::Conflict(RequestId request, const std::vector<Intent>& intents) {
+void PlanService::ReplaceStalePlan(RequestId request, const std::vector<Intent>& intents) {
   const Result<jaymast::Plan> plan = MakePlan(m_config.config(), intents, m_hooks.facts());
   if (!plan) return Fail(request, kStatusConflict, plan.error(), Verdict::kNotRun);
   StorePlan(request, *plan, kStatusConflict, "the configuration has changed; this is a new plan");
@@ -167,12 +167,12 @@
   }
   // The intents to run are recorded with the confirmation, so that another entry submits them if this one dies.
   if (HasRuns(plan.intents)) {
-    writes.push_back({ConfirmedKey(id), json::serialize(EncodeIntents(plan.base_version, plan.intents))});
+    writes.push_back({ConfirmedKey(id), json::serialize(EncodePlan(plan.base_version, plan.intents))});
   }
-  ++m_open_plans;
+  ++m_open_transactions;
   m_table.Commit(std::move(conditions), std::move(writes),
                  [this, request, confirmed, changes_config](CommitOutcome outcome, std::int64_t version) {
-                   --m_open_plans;
+                   --m_open_transactions;
                    switch (outcome) {
                      case CommitOutcome::kCommitted:
                        return OnCommitted(request, confirmed, changes_config, version);
@@ -189,8 +189,8 @@
 
 void PlanService::OnCommitted(RequestId request, const jaymast::Plan& plan, bool changes_config, std::int64_t version) {
   if (HasRuns(plan.intents)) SubmitRuns(plan.id, plan.intents);
-  WaitingConfirm waiting{request, plan.target.version, m_context.Now() + kInForceTarget};
-  if (!changes_config) return AnswerConfirm(waiting, {});
+  PendingConfirmation pending{request, plan.target.version, m_context.Now() + kAcknowledgementTimeout};
+  if (!changes_config) return RespondToConfirmation(pending, {});
   Event event;
   event.kind = EventKind::kConfigCommitted;
   event.config_version = plan.target.version;
@@ -198,7 +198,7 @@
   m_context.effects.Emit(event);
   m_config.OnCommitted(plan.target, version);
   m_hooks.push(plan.target);
-  m_waiting[request] = waiting;
+  m_pending_confirmations[request] = pending;
   CheckAcknowledgements();
 }
 
@@ -223,7 +223,7 @@
 void PlanService::OnConfirmedRows(const std::vector<Row>& rows) {
   for (const Row& row : rows) {
     const PlanId id(row.key.substr(kConfirmedPrefix.size()));
-    const Result<StoredPlan> plan = DecodeIntents(row.value);
+    const Result<StoredPlan> plan = DecodePlan(row.value);
     if (plan) SubmitRuns(id, plan->intents);
   }
 }
@@ -251,28 +251,29 @@
 }
 
 void PlanService::CheckAcknowledgements() {
-  if (m_checking || m_waiting.empty()) return;
+  if (m_checking || m_pending_confirmations.empty()) return;
   m_checking = true;
   ReadRequest request;
   request.prefixes = {std::string(kEntryPrefix), std::string(kOwnerPrefix)};
   m_table.Read(request, [this](const ReadReply& reply) {
     m_checking = false;
-    std::vector<WaitingConfirm> done;
-    for (const auto& [request_id, waiting] : m_waiting) {
-      const bool is_late = m_context.Now() >= waiting.answer_at;
-      const bool is_in_force = reply.available && FindEntriesOnOlderConfig(reply.rows, waiting.version).empty();
-      if (is_in_force || is_late) done.push_back(waiting);
+    std::vector<PendingConfirmation> finished;
+    for (const auto& [request_id, pending] : m_pending_confirmations) {
+      const bool is_late = m_context.Now() >= pending.respond_by;
+      const bool is_in_force = reply.available && FindEntriesOnOlderConfig(reply.rows, pending.version).empty();
+      if (is_in_force || is_late) finished.push_back(pending);
     }
-    for (const WaitingConfirm& waiting : done) {
-      m_waiting.erase(waiting.request);
-      AnswerConfirm(waiting, reply.available ? FindEntriesOnOlderConfig(reply.rows, waiting.version)
-                                             : std::vector<EntryId>{EntryId("unknown: the store is unreachable")});
+    for (const PendingConfirmation& pending : finished) {
+      m_pending_confirmations.erase(pending.request);
+      RespondToConfirmation(pending, reply.available
+                                         ? FindEntriesOnOlderConfig(reply.rows, pending.version)
+                                         : std::vector<EntryId>{EntryId("unknown: the store is unreachable")});
     }
-    if (!m_waiting.empty()) m_context.After(kCheckInterval, [this] { CheckAcknowledgements(); });
+    if (!m_pending_confirmations.empty()) m_context.After(kCheckInterval, [this] { CheckAcknowledgements(); });
   });
 }
 
-void PlanService::AnswerConfirm(const WaitingConfirm& waiting, const std::vector<EntryId>& not_in_force) {
+void PlanService::RespondToConfirmation(const PendingConfirmation& pending, const std::vector<EntryId>& not_in_force) {
   json::array missing;
   for (const EntryId& id : not_in_force) {
     missing.emplace_back(json::object{{"entry", id.value()}, {"domain", DomainOf(id).value()}});
@@ -281,15 +282,15 @@
   if (is_accepted) {
     Event event;
     event.kind = EventKind::kConfigAccepted;
-    event.config_version = waiting.version;
+    event.config_version = pending.version;
     m_context.effects.Emit(event);
   }
   Response response;
   response.status = is_accepted ? kStatusOk : kStatusAccepted;
   response.verdict = Verdict::kRan;
   response.body = json::serialize(
-      json::object{{"accepted", is_accepted}, {"version", waiting.version}, {"not_in_force", std::move(missing)}});
-  m_context.effects.Reply(waiting.request, response);
+      json::object{{"accepted", is_accepted}, {"version", pending.version}, {"not_in_force", std::move(missing)}});
+  m_context.effects.Reply(pending.request, response);
 }
 
 }  // namespace jaymast
--- a/src/configuration/plan_service.h
+++ b/src/configuration/plan_service.h
@@ -48,23 +48,23 @@
   /// @return entries that may still start work under an older version
   std::vector<EntryId> FindEntriesOnOlderConfig(const std::vector<Row>& rows, std::int64_t version) const;
 
-  bool IsIdle() const { return m_open_plans == 0 && m_waiting.empty(); }
+  bool IsIdle() const { return m_open_transactions == 0 && m_pending_confirmations.empty(); }
 
  private:
-  struct WaitingConfirm {
+  struct PendingConfirmation {
     RequestId request = 0;
     std::int64_t version = 0;
-    Time answer_at;
+    Time respond_by;
   };
 
   void StorePlan(RequestId request, const jaymast::Plan& plan, int status, const std::string& note);
   void OnPlanRead(RequestId request, const PlanId& plan, std::int64_t base_version, const ReadReply& reply);
-  void Conflict(RequestId request, const std::vector<Intent>& intents);
+  void ReplaceStalePlan(RequestId request, const std::vector<Intent>& intents);
   void CommitPlan(RequestId request, const PlanId& id, std::int64_t plan_row_version, const jaymast::Plan& plan);
   void OnCommitted(RequestId request, const jaymast::Plan& plan, bool changes_config, std::int64_t version);
   void SubmitRuns(const PlanId& id, const std::vector<Intent>& intents);
   void CheckAcknowledgements();
-  void AnswerConfirm(const WaitingConfirm& waiting, const std::vector<EntryId>& not_in_force);
+  void RespondToConfirmation(const PendingConfirmation& pending, const std::vector<EntryId>& not_in_force);
   void Fail(RequestId request, int status, Error error, Verdict verdict);
 
   Context& m_context;
@@ -73,10 +73,10 @@
   const Membership& m_membership;
   TaskManager& m_tasks;
   Hooks m_hooks;
-  std::map<RequestId, WaitingConfirm> m_waiting;
+  std::map<RequestId, PendingConfirmation> m_pending_confirmations;
   std::set<PlanId> m_submitting;
   std::uint64_t m_next_plan = 1;
-  int m_open_plans = 0;
+  int m_open_transactions = 0;
   bool m_checking = false;
 };
 
--- a/src/limits/allotments.cc
+++ b/src/limits/allotments.cc
@@ -15,7 +15,7 @@
 /// Time between two requests to other holders for the same team.
 constexpr Duration kRequestInterval = std::chrono::milliseconds(200);
 
-constexpr Duration kSettleRetryInterval = std::chrono::seconds(1);
+constexpr Duration kTransferRetryInterval = std::chrono::seconds(1);
 
 /// A raise at most doubles the use and adds this many, so that repeated refusals of one task do not take the whole
 /// limit.
@@ -51,7 +51,7 @@
   return known == m_config.config().teams.end() ? 0 : known->second.limit;
 }
 
-std::int64_t Allotments::Own(const TeamState& state) const {
+std::int64_t Allotments::OwnAmount(const TeamState& state) const {
   const auto own = state.holders.find(m_context.self);
   return own == state.holders.end() ? 0 : own->second;
 }
@@ -59,7 +59,7 @@
 std::int64_t Allotments::Allowed(const TeamId& team) const {
   const auto state = m_teams.find(team);
   if (state == m_teams.end()) return 0;
-  const std::int64_t own = Own(state->second);
+  const std::int64_t own = OwnAmount(state->second);
   const std::int64_t sum = Sum(state->second.holders);
   const std::int64_t limit = Limit(team);
   if (sum <= limit) return own;
@@ -124,36 +124,36 @@
 }
 
 void Allotments::RetainUsage(const UpstreamId& upstream, const std::map<TeamId, std::int64_t>& counts) {
-  Lent& lent = m_lent[upstream];
-  lent.sequence = m_next_lent++;
-  for (const auto& [team, count] : counts) lent.counts[team] += count;
+  RetainedUsage& retained = m_retained_usage[upstream];
+  retained.sequence = m_next_sequence++;
+  for (const auto& [team, count] : counts) retained.counts[team] += count;
 }
 
 void Allotments::OnTransferred(const UpstreamId& upstream) {
-  const auto lent = m_lent.find(upstream);
-  if (lent == m_lent.end()) return;
+  const auto retained = m_retained_usage.find(upstream);
+  if (retained == m_retained_usage.end()) return;
   ReadRequest request;
-  for (const auto& [team, count] : lent->second.counts) request.keys.push_back(RowKey(team));
+  for (const auto& [team, count] : retained->second.counts) request.keys.push_back(RowKey(team));
   // The rows are read before the count is dropped, so that the allotment which has moved away is known to be gone.
-  const std::uint64_t sequence = lent->second.sequence;
+  const std::uint64_t sequence = retained->second.sequence;
   m_table.Read(request, [this, upstream, sequence](const ReadReply& reply) {
     if (!reply.available) {
-      m_context.After(kSettleRetryInterval, [this, upstream] { OnTransferred(upstream); });
+      m_context.After(kTransferRetryInterval, [this, upstream] { OnTransferred(upstream); });
       return;
     }
     for (const Row& row : reply.rows) {
       if (!OnRow(TeamId(row.key.substr(kRowPrefix.size())), {row})) return;
     }
-    const auto current = m_lent.find(upstream);
-    if (current != m_lent.end() && current->second.sequence == sequence) DropRetainedUsage(upstream);
+    const auto current = m_retained_usage.find(upstream);
+    if (current != m_retained_usage.end() && current->second.sequence == sequence) DropRetainedUsage(upstream);
   });
 }
 
 void Allotments::DropRetainedUsage(const UpstreamId& upstream) {
-  const auto lent = m_lent.find(upstream);
-  if (lent == m_lent.end()) return;
-  for (const auto& [team, count] : lent->second.counts) m_teams[team].used -= count;
-  m_lent.erase(lent);
+  const auto retained = m_retained_usage.find(upstream);
+  if (retained == m_retained_usage.end()) return;
+  for (const auto& [team, count] : retained->second.counts) m_teams[team].used -= count;
+  m_retained_usage.erase(retained);
 }
 
 void Allotments::OnCommitted(const TeamId& team, const Holders& holders, std::int64_t version) {
@@ -172,7 +172,7 @@
   return Limit(team) / (entries + 1);
 }
 
-std::int64_t Allotments::Useful(const TeamState& state) const {
+std::int64_t Allotments::UsefulIncrease(const TeamState& state) const {
   return std::min({state.wanted, state.used + kRaiseStep, m_hooks.free_slots()});
 }
 
@@ -187,7 +187,7 @@
     return holders[m_context.self] != own;
   }
   const std::int64_t base = BaseAmount(team);
-  const std::int64_t target = std::max({state.used + Useful(state), base, state.used + base / 2});
+  const std::int64_t target = std::max({state.used + UsefulIncrease(state), base, state.used + base / 2});
   if (target <= own || free == 0) return false;
   holders[m_context.self] = own + std::min(free, target - own);
   return true;
@@ -230,9 +230,9 @@
     state.adjusting = false;
     // Only what the own allotment does not cover. Asking for more repeats for ever, because each answer raises `wanted`
     // again, and all holders then write the same row at once.
-    const std::int64_t missing = state.used + Useful(state) - Allowed(team);
+    const std::int64_t missing = state.used + UsefulIncrease(state) - Allowed(team);
     state.wanted = 0;
-    if (missing > 0) AskHolders(team, missing);
+    if (missing > 0) RequestFromHolders(team, missing);
     return;
   }
   m_table.Commit({{RowKey(team), state.row_version}, m_membership.MembershipCondition()},
@@ -255,17 +255,17 @@
   Event event;
   event.kind = EventKind::kAllotmentChanged;
   event.team = team;
-  event.amount = Own(m_teams[team]);
+  event.amount = OwnAmount(m_teams[team]);
   m_context.effects.Emit(event);
 }
 
-void Allotments::AskHolders(const TeamId& team, std::int64_t amount) {
+void Allotments::RequestFromHolders(const TeamId& team, std::int64_t amount) {
   TeamState& state = m_teams[team];
   if (m_context.Now() < state.next_request) return;
   state.next_request = m_context.Now() + kRequestInterval;
   for (const auto& [entry, held] : state.holders) {
-    const bool is_askable = held > 0 && entry != m_context.self && m_membership.HasRecentHeartbeat(entry);
-    if (is_askable) m_context.effects.SendPeer(entry, AllotmentRequest{team, amount});
+    const bool can_request = held > 0 && entry != m_context.self && m_membership.HasRecentHeartbeat(entry);
+    if (can_request) m_context.effects.SendPeer(entry, AllotmentRequest{team, amount});
   }
   // Asks for what the holders have returned by then.
   m_context.After(kRequestInterval, [this, team, amount] {
@@ -293,8 +293,8 @@
   std::set<EntryId> absent;
   for (const auto& [team, state] : m_teams) {
     for (const auto& [entry, amount] : state.holders) {
-      const bool is_near = amount > 0 && DomainOf(entry) == m_context.settings.domain;
-      if (is_near && !m_membership.HasLeaseRecord(entry)) absent.insert(entry);
+      const bool is_own_domain = amount > 0 && DomainOf(entry) == m_context.settings.domain;
+      if (is_own_domain && !m_membership.HasLeaseRecord(entry)) absent.insert(entry);
     }
   }
   return absent;
--- a/src/limits/allotments.h
+++ b/src/limits/allotments.h
@@ -83,7 +83,7 @@
     Time next_request;  ///< earliest time to ask another holder again
   };
   /// Tasks counted here that run on an upstream which this entry lost.
-  struct Lent {
+  struct RetainedUsage {
     std::uint64_t sequence = 0;  ///< tells a later loss of the same upstream apart
     std::map<TeamId, std::int64_t> counts;
   };
@@ -96,13 +96,13 @@
   void CommitUpdate(const TeamId& team, const Change& change);
   void OnCommitted(const TeamId& team, const Holders& holders, std::int64_t version);
   bool Raise(const TeamId& team, Holders& holders);
-  void AskHolders(const TeamId& team, std::int64_t amount);
+  void RequestFromHolders(const TeamId& team, std::int64_t amount);
   /// @return false when the row is malformed; the last known amounts stay
   bool OnRow(const TeamId& team, const std::vector<Row>& rows);
   void Prewarm();
   std::int64_t Limit(const TeamId& team) const;
-  std::int64_t Own(const TeamState& state) const;
-  std::int64_t Useful(const TeamState& state) const;
+  std::int64_t OwnAmount(const TeamState& state) const;
+  std::int64_t UsefulIncrease(const TeamState& state) const;
   std::int64_t BaseAmount(const TeamId& team) const;
   void EmitChange(const TeamId& team);
 
@@ -112,8 +112,8 @@
   const Membership& m_membership;
   Hooks m_hooks;
   std::map<TeamId, TeamState> m_teams;
-  std::map<UpstreamId, Lent> m_lent;
-  std::uint64_t m_next_lent = 1;
+  std::map<UpstreamId, RetainedUsage> m_retained_usage;
+  std::uint64_t m_next_sequence = 1;
   std::uint64_t m_prewarm_ticks = 0;
   TeamId m_prewarmed;  ///< last team that got its base allotment
 };
--- a/src/membership/lifecycle.cc
+++ b/src/membership/lifecycle.cc
@@ -14,8 +14,8 @@
 
 struct Joined {};
 struct Recovered {};
-struct StoreLost {};
-struct StoreBack {};
+struct StoreUnavailable {};
+struct StoreAvailable {};
 struct StopRequested {};
 struct Drained {};
 
@@ -40,15 +40,15 @@
   // The name is required by Boost.MSM.
   // NOLINTNEXTLINE(readability-identifier-naming)
   struct transition_table : boost::mpl::vector<
-      Row<Joining,    Joined,        Recovering, none, none>,
-      Row<Joining,    StopRequested, Draining,   none, none>,
-      Row<Recovering, Recovered,     Serving,    none, none>,
-      Row<Recovering, StopRequested, Draining,   none, none>,
-      Row<Serving,    StoreLost,     Isolated,   none, none>,
-      Row<Serving,    StopRequested, Draining,   none, none>,
-      Row<Isolated,   StoreBack,     Serving,    none, none>,
-      Row<Isolated,   StopRequested, Draining,   none, none>,
-      Row<Draining,   Drained,       Stopped,    none, none>> {};
+      Row<Joining,    Joined,           Recovering, none, none>,
+      Row<Joining,    StopRequested,    Draining,   none, none>,
+      Row<Recovering, Recovered,        Serving,    none, none>,
+      Row<Recovering, StopRequested,    Draining,   none, none>,
+      Row<Serving,    StoreUnavailable, Isolated,   none, none>,
+      Row<Serving,    StopRequested,    Draining,   none, none>,
+      Row<Isolated,   StoreAvailable,   Serving,    none, none>,
+      Row<Isolated,   StopRequested,    Draining,   none, none>,
+      Row<Draining,   Drained,          Stopped,    none, none>> {};
   // clang-format on
 
   template <typename Event, typename Fsm>
@@ -83,10 +83,10 @@
       m_machine->process_event(Recovered{});
       return;
     case LifecycleEvent::kStoreUnavailable:
-      m_machine->process_event(StoreLost{});
+      m_machine->process_event(StoreUnavailable{});
       return;
     case LifecycleEvent::kStoreAvailable:
-      m_machine->process_event(StoreBack{});
+      m_machine->process_event(StoreAvailable{});
       return;
     case LifecycleEvent::kStopRequested:
       m_machine->process_event(StopRequested{});
--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -12,7 +12,7 @@
 
 /// How long after a failed renewal the store counts as unreachable. A holder that was paused for longer must try again
 /// before it starts work.
-constexpr Duration kStoreLostMemory = std::chrono::seconds(3);
+constexpr Duration kStoreUnavailableWindow = std::chrono::seconds(3);
 
 /// Delay for each better-ranked candidate, so that usually one entry expires a peer.
 constexpr Duration kExpiryStagger = std::chrono::milliseconds(500);
@@ -48,7 +48,7 @@
   if (m_record_version == 0) return false;
   const EntryState entry_state = state();
   if (entry_state != EntryState::kServing && entry_state != EntryState::kIsolated) return false;
-  return IsLeaseValid() || m_context.Now() < m_store_lost_until;
+  return IsLeaseValid() || m_context.Now() < m_store_unavailable_until;
 }
 
 void Membership::ScheduleRenewal() {
@@ -84,7 +84,7 @@
         if (outcome == CommitOutcome::kConflict && !m_leaving) return m_hooks.on_lease_lost();
         OnRenewed(sent_at, outcome == CommitOutcome::kCommitted, version);
       },
-      [this] { OnRenewalLost(); });
+      [this] { OnRenewalFailed(); });
 }
 
 void Membership::OnRenewed(Time sent_at, bool committed, std::int64_t version) {
@@ -92,21 +92,21 @@
     m_record_version = version;
     if (m_home_version == 0) m_home_version = version;
     m_lease_deadline = sent_at + m_context.settings.lease_duration;
-    m_store_lost_until = Time();
+    m_store_unavailable_until = Time();
     Event event;
     event.kind = EventKind::kLeaseRenewed;
     event.config_version = m_config_version;
     m_context.effects.Emit(event);
     Handle(LifecycleEvent::kStoreAvailable);
   } else {
-    OnRenewalLost();
+    OnRenewalFailed();
   }
   if (std::exchange(m_renew_again, false)) return Renew();
   ScheduleRenewal();
 }
 
-void Membership::OnRenewalLost() {
-  m_store_lost_until = m_context.Now() + kStoreLostMemory;
+void Membership::OnRenewalFailed() {
+  m_store_unavailable_until = m_context.Now() + kStoreUnavailableWindow;
   if (m_record_version != 0 && !IsLeaseValid()) Handle(LifecycleEvent::kStoreUnavailable);
 }
 
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -93,7 +93,7 @@
  private:
   void ScheduleRenewal();
   void OnRenewed(Time sent_at, bool committed, std::int64_t version);
-  void OnRenewalLost();
+  void OnRenewalFailed();
   bool IsExpiryDue(const EntryId& id, const Peer& peer) const;
   Duration ExpiryDelay(const EntryId& id, const Peer& peer) const;
   void Expire(const EntryId& id, std::int64_t version);
@@ -110,7 +110,7 @@
   std::int64_t m_renewals = 0;
   std::int64_t m_config_version = 0;
   Time m_lease_deadline;
-  Time m_store_lost_until;            ///< until then a failed renewal proves that the store is unreachable
+  Time m_store_unavailable_until;     ///< until then a failed renewal proves that the store is unreachable
   std::uint64_t m_renewal_timer = 0;  ///< number of the timer that may start the next renewal
   bool m_read_failed = false;
   bool m_renewing = false;
--- a/src/ownership/ownership.cc
+++ b/src/ownership/ownership.cc
@@ -13,10 +13,10 @@
 constexpr Duration kRetryInterval = std::chrono::milliseconds(500);
 
 /// How long a better-ranked entry must stay before it is given an upstream, so that a short restart moves nothing.
-constexpr Duration kPreferenceDelay = std::chrono::seconds(2);
+constexpr Duration kHandoverDelay = std::chrono::seconds(2);
 
 /// How long an upstream that left the lagging list is still kept.
-constexpr Duration kForgetDelay = std::chrono::seconds(30);
+constexpr Duration kUnlistedRetention = std::chrono::seconds(30);
 
 }  // namespace
 
@@ -31,7 +31,7 @@
     Upstream& upstream = m_upstreams[info.id];
     upstream.info = info;
     upstream.is_listed = true;
-    upstream.unlisted_until = now + kForgetDelay;
+    upstream.remove_at = now + kUnlistedRetention;
   }
   Reconcile();
 }
@@ -56,7 +56,7 @@
 void Ownership::OnOwnRowChanged(const UpstreamId& id, Upstream& upstream) {
   const bool is_active = upstream.phase == Phase::kOwned || upstream.phase == Phase::kFencing;
   if (!is_active || upstream.row.owner == m_context.self) return;
-  if (upstream.row.epoch >= upstream.epoch) Lose(id, upstream);
+  if (upstream.row.epoch >= upstream.epoch) DropOwnership(id, upstream);
 }
 
 EntryId Ownership::PreferredOwner(const UpstreamId& id) const {
@@ -83,21 +83,21 @@
   for (auto& [id, upstream] : m_upstreams) {
     if (!upstream.is_listed) continue;
     if (upstream.phase == Phase::kOwned) {
-      EvaluateOwned(id, upstream);
+      ReconcileOwned(id, upstream);
     } else {
-      EvaluateUnowned(id, upstream);
+      ReconcileUnowned(id, upstream);
     }
   }
-  ForgetUnlisted();
+  RemoveUnlisted();
 }
 
-void Ownership::EvaluateUnowned(const UpstreamId& id, Upstream& upstream) {
+void Ownership::ReconcileUnowned(const UpstreamId& id, Upstream& upstream) {
   if (m_context.Now() < upstream.next_try) return;
   if (upstream.phase == Phase::kFencing) return Fence(id, upstream);
   if (upstream.phase != Phase::kNone) return;
   if (upstream.row.owner == m_context.self) {
     // The row was handed to this entry, or names it from before a refusal.
-    if (upstream.seen_epoch >= upstream.row.epoch) return Claim(id, upstream);
+    if (upstream.reported_epoch >= upstream.row.epoch) return Claim(id, upstream);
     upstream.epoch = upstream.row.epoch;
     upstream.is_committed = true;
     return Fence(id, upstream);
@@ -105,26 +105,26 @@
   if (IsOwnerGone(upstream) && PreferredOwner(id) == m_context.self) Claim(id, upstream);
 }
 
-void Ownership::EvaluateOwned(const UpstreamId& id, Upstream& upstream) {
+void Ownership::ReconcileOwned(const UpstreamId& id, Upstream& upstream) {
   if (!IsRecorded(upstream)) CommitFenced(id);
   const EntryId preferred = PreferredOwner(id);
-  const bool is_elsewhere = !preferred.empty() && preferred != m_context.self;
-  if (!is_elsewhere || !m_membership.IsLeaseValid() || !upstream.is_committed ||
+  const bool is_other_preferred = !preferred.empty() && preferred != m_context.self;
+  if (!is_other_preferred || !m_membership.IsLeaseValid() || !upstream.is_committed ||
       !m_membership.HasRecentHeartbeat(preferred)) {
-    upstream.prefer_other_at = Time();
+    upstream.handover_at = Time();
     return;
   }
   const Time now = m_context.Now();
-  if (upstream.prefer_other_at == Time()) upstream.prefer_other_at = now + kPreferenceDelay;
-  if (now < upstream.prefer_other_at || now < m_next_handover) return;
+  if (upstream.handover_at == Time()) upstream.handover_at = now + kHandoverDelay;
+  if (now < upstream.handover_at || now < m_next_handover) return;
   m_next_handover = now + m_context.settings.handover_interval;
   HandOver(id, upstream, preferred);
 }
 
 void Ownership::Claim(const UpstreamId& id, Upstream& upstream) {
-  const std::int64_t epoch = std::max({upstream.row.epoch, upstream.epoch, upstream.seen_epoch}) + 1;
+  const std::int64_t epoch = std::max({upstream.row.epoch, upstream.epoch, upstream.reported_epoch}) + 1;
   upstream.next_try = m_context.Now() + kRetryInterval;
-  if (m_membership.state() == EntryState::kIsolated && !upstream.is_lapsing) {
+  if (m_membership.state() == EntryState::kIsolated && !upstream.is_expiring_leases) {
     upstream.epoch = epoch;
     upstream.is_committed = false;
     return Fence(id, upstream);
@@ -144,10 +144,10 @@
   const auto found = m_upstreams.find(id);
   if (found == m_upstreams.end() || found->second.phase != Phase::kClaiming) return;
   Upstream& upstream = found->second;
-  const bool is_lapsing = std::exchange(upstream.is_lapsing, false);
+  const bool is_expiring_leases = std::exchange(upstream.is_expiring_leases, false);
   if (!committed) {
     upstream.phase = Phase::kNone;
-    if (is_lapsing) m_hooks.on_ownership_lost(id);
+    if (is_expiring_leases) m_hooks.on_ownership_lost(id);
     return;
   }
   upstream.row.owner = m_context.self;
@@ -156,14 +156,14 @@
   upstream.epoch = epoch;
   upstream.is_committed = true;
   EmitChange(EventKind::kOwnerClaimed, id, upstream);
-  if (is_lapsing) m_hooks.on_leases_expired(id);
+  if (is_expiring_leases) m_hooks.on_leases_expired(id);
   Fence(id, upstream);
 }
 
 void Ownership::Fence(const UpstreamId& id, Upstream& upstream) {
   upstream.phase = Phase::kFencing;
-  if (upstream.is_probing) return;
-  upstream.is_probing = true;
+  if (upstream.is_fence_pending) return;
+  upstream.is_fence_pending = true;
   const Time deadline = m_context.Now() + m_context.settings.upstream_call_timeout;
   const FenceRequest request{OwnerToken{m_context.self, upstream.epoch}};
   m_context.effects.CallUpstream(
@@ -175,11 +175,11 @@
   const auto found = m_upstreams.find(id);
   if (found == m_upstreams.end()) return;
   Upstream& upstream = found->second;
-  upstream.is_probing = false;
+  upstream.is_fence_pending = false;
   if (upstream.phase != Phase::kFencing || upstream.epoch != epoch) return;
   upstream.next_try = m_context.Now() + kRetryInterval;
   if (reply.status == CallStatus::kRefused) {
-    upstream.seen_epoch = std::max(upstream.seen_epoch, reply.current.epoch);
+    upstream.reported_epoch = std::max(upstream.reported_epoch, reply.current.epoch);
     upstream.phase = Phase::kNone;
     return;
   }
@@ -188,12 +188,12 @@
 
 void Ownership::Acquire(const UpstreamId& id, Upstream& upstream, const UpstreamReply& reply) {
   upstream.phase = Phase::kOwned;
-  upstream.seen_epoch = upstream.epoch;
-  upstream.prefer_other_at = Time();
+  upstream.reported_epoch = upstream.epoch;
+  upstream.handover_at = Time();
   // The runner remembers its tasks only if the last epoch it accepted is the last one that was recorded. A lower one
   // means that it restarted; a higher one, that somebody fenced it unrecorded and may have met a restart.
-  const bool has_forgotten = reply.previous_epoch != upstream.row.fenced_epoch;
-  upstream.reset_epoch = has_forgotten ? upstream.epoch : upstream.row.reset_epoch;
+  const bool may_have_forgotten = reply.previous_epoch != upstream.row.fenced_epoch;
+  upstream.reset_epoch = may_have_forgotten ? upstream.epoch : upstream.row.reset_epoch;
   EmitChange(EventKind::kOwnerFenced, id, upstream);
   m_hooks.on_acquired(
       AcquiredUpstream{upstream.info, upstream.epoch, upstream.reset_epoch, upstream.is_committed, &reply});
@@ -206,31 +206,32 @@
 
 void Ownership::CommitFenced(const UpstreamId& id) {
   Upstream& upstream = m_upstreams.at(id);
-  if (upstream.is_writing || m_membership.state() == EntryState::kIsolated) return;
+  if (upstream.is_write_pending || m_membership.state() == EntryState::kIsolated) return;
   if (m_context.Now() < upstream.next_write) return;
   upstream.next_write = m_context.Now() + kRetryInterval;
-  m_hooks.prepare_allotment_transfer(
-      id, upstream.row.covered_by,
-      [this, id, epoch = upstream.epoch](AllotmentTransfer change) { CommitCover(id, epoch, std::move(change)); });
+  m_hooks.prepare_allotment_transfer(id, upstream.row.covered_by,
+                                     [this, id, epoch = upstream.epoch](AllotmentTransfer transfer) {
+                                       CommitTransfer(id, epoch, std::move(transfer));
+                                     });
 }
 
-void Ownership::CommitCover(const UpstreamId& id, std::int64_t epoch, AllotmentTransfer change) {
+void Ownership::CommitTransfer(const UpstreamId& id, std::int64_t epoch, AllotmentTransfer transfer) {
   const auto item = m_upstreams.find(id);
   if (item == m_upstreams.end()) return;
   Upstream& upstream = item->second;
-  if (upstream.phase != Phase::kOwned || upstream.epoch != epoch || upstream.is_writing) return;
-  upstream.is_writing = true;
+  if (upstream.phase != Phase::kOwned || upstream.epoch != epoch || upstream.is_write_pending) return;
+  upstream.is_write_pending = true;
   const OwnerRecord record{m_context.self, epoch, epoch, m_context.self, upstream.reset_epoch};
   const std::string key = OwnerKey(m_context.settings.domain, id);
-  change.conditions.push_back({key, upstream.row_version});
-  change.conditions.push_back(m_membership.MembershipCondition());
-  change.writes.push_back({key, Encode(record)});
-  m_table.Commit(std::move(change.conditions), std::move(change.writes),
+  transfer.conditions.push_back({key, upstream.row_version});
+  transfer.conditions.push_back(m_membership.MembershipCondition());
+  transfer.writes.push_back({key, Encode(record)});
+  m_table.Commit(std::move(transfer.conditions), std::move(transfer.writes),
                  [this, id, record](CommitOutcome outcome, std::int64_t version) {
                    const auto found = m_upstreams.find(id);
                    if (found == m_upstreams.end()) return;
                    Upstream& current = found->second;
-                   current.is_writing = false;
+                   current.is_write_pending = false;
                    if (outcome != CommitOutcome::kCommitted || version <= current.row_version) return;
                    current.row = record;
                    current.row_version = version;
@@ -241,18 +242,18 @@
 }
 
 void Ownership::HandOver(const UpstreamId& id, Upstream& upstream, const EntryId& to) {
-  upstream.phase = Phase::kReleasing;
-  ++m_open_releases;
+  upstream.phase = Phase::kHandingOver;
+  ++m_pending_handovers;
   OwnerRecord record = upstream.row;
   record.owner = to;
   record.epoch = upstream.epoch + 1;
   const std::string key = OwnerKey(m_context.settings.domain, id);
   // No request with the old epoch is sent from here on, so the new owner's fence meets a quiet runner.
-  Lose(id, upstream);
-  upstream.phase = Phase::kReleasing;
+  DropOwnership(id, upstream);
+  upstream.phase = Phase::kHandingOver;
   m_table.Commit({{key, upstream.row_version}}, {{key, Encode(record)}},
                  [this, id, record](CommitOutcome outcome, std::int64_t version) {
-                   --m_open_releases;
+                   --m_pending_handovers;
                    const auto found = m_upstreams.find(id);
                    if (found == m_upstreams.end()) return;
                    found->second.phase = Phase::kNone;
@@ -272,8 +273,8 @@
   }
 }
 
-void Ownership::Lose(const UpstreamId& id, Upstream& upstream) {
-  const bool was_owned = upstream.phase == Phase::kOwned || upstream.phase == Phase::kReleasing;
+void Ownership::DropOwnership(const UpstreamId& id, Upstream& upstream) {
+  const bool was_owned = upstream.phase == Phase::kOwned || upstream.phase == Phase::kHandingOver;
   upstream.phase = Phase::kNone;
   upstream.is_committed = false;
   upstream.next_try = m_context.Now() + kRetryInterval;
@@ -285,14 +286,14 @@
   const auto found = m_upstreams.find(id);
   if (found == m_upstreams.end() || found->second.phase != Phase::kOwned) return;
   Upstream& upstream = found->second;
-  upstream.seen_epoch = std::max(upstream.seen_epoch, current.epoch);
+  upstream.reported_epoch = std::max(upstream.reported_epoch, current.epoch);
   if (current.epoch < upstream.epoch) {
     // The runner restarted and lost its epoch.
-    Lose(id, upstream);
+    DropOwnership(id, upstream);
     upstream.next_try = Time();
     return Claim(id, upstream);
   }
-  if (current.epoch > upstream.epoch || current.owner != m_context.self) Lose(id, upstream);
+  if (current.epoch > upstream.epoch || current.owner != m_context.self) DropOwnership(id, upstream);
 }
 
 void Ownership::ExpireTaskLeases(const UpstreamId& id) {
@@ -300,7 +301,7 @@
   if (found == m_upstreams.end() || found->second.phase != Phase::kOwned) return;
   Upstream& upstream = found->second;
   if (!upstream.is_committed || !m_membership.IsLeaseValid()) return;
-  upstream.is_lapsing = true;
+  upstream.is_expiring_leases = true;
   Claim(id, upstream);
 }
 
@@ -335,16 +336,16 @@
   return found->second.row.owner;
 }
 
-void Ownership::ForgetUnlisted() {
+void Ownership::RemoveUnlisted() {
   const Time now = m_context.Now();
   std::vector<UpstreamId> gone;
   for (const auto& [id, upstream] : m_upstreams) {
-    if (!upstream.is_listed && now >= upstream.unlisted_until) gone.push_back(id);
+    if (!upstream.is_listed && now >= upstream.remove_at) gone.push_back(id);
   }
-  for (const UpstreamId& id : gone) Forget(id, m_upstreams.at(id));
+  for (const UpstreamId& id : gone) Remove(id, m_upstreams.at(id));
 }
 
-void Ownership::Forget(const UpstreamId& id, const Upstream& upstream) {
+void Ownership::Remove(const UpstreamId& id, const Upstream& upstream) {
   const bool is_mine = upstream.row.owner == m_context.self || IsOwnerGone(upstream);
   if (upstream.row_version != 0 && is_mine && m_membership.IsLeaseValid()) {
     const std::string key = OwnerKey(m_context.settings.domain, id);
--- a/src/ownership/ownership.h
+++ b/src/ownership/ownership.h
@@ -86,7 +86,7 @@
   bool HasFencedOwnUpstreams() const;
 
   /// Whether releases are still being committed.
-  bool IsHandingOver() const { return m_open_releases > 0; }
+  bool IsHandingOver() const { return m_pending_handovers > 0; }
 
   /// Whether every listed upstream is owned by an entry with a lease record which has fenced it and counted its tasks.
   /// An entry without a record can then start nothing in this failure domain.
@@ -96,29 +96,29 @@
   std::optional<EntryId> FindOwner(const UpstreamId& id) const;
 
  private:
-  enum class Phase { kNone, kClaiming, kFencing, kOwned, kReleasing };
+  enum class Phase { kNone, kClaiming, kFencing, kOwned, kHandingOver };
 
   struct Upstream {
     UpstreamInfo info;
     bool is_listed = false;
-    Time unlisted_until;  ///< when an upstream that left the list is forgotten
+    Time remove_at;  ///< when an upstream that left the list is forgotten
     OwnerRecord row;
     std::int64_t row_version = 0;
     Phase phase = Phase::kNone;
     std::int64_t epoch = 0;
     std::int64_t reset_epoch = 0;
-    std::int64_t seen_epoch = 0;  ///< highest epoch that the runner reported
-    bool is_committed = false;    ///< the row names this entry at `epoch`
-    bool is_writing = false;      ///< a write of the fenced row is open
-    bool is_lapsing = false;      ///< the claim in flight proves a lapse
-    bool is_probing = false;      ///< a fence call is open
-    Time next_try;                ///< earliest time of the next claim or fence
-    Time next_write;              ///< earliest time to record the fence again
-    Time prefer_other_at;         ///< when a better-ranked owner is given the upstream; zero when there is none
+    std::int64_t reported_epoch = 0;  ///< highest epoch that the runner reported
+    bool is_committed = false;        ///< the row names this entry at `epoch`
+    bool is_write_pending = false;    ///< a write of the fenced row is open
+    bool is_expiring_leases = false;  ///< the claim in flight proves a lapse
+    bool is_fence_pending = false;    ///< a fence call is open
+    Time next_try;                    ///< earliest time of the next claim or fence
+    Time next_write;                  ///< earliest time to record the fence again
+    Time handover_at;                 ///< when a better-ranked owner is given the upstream; zero when there is none
   };
 
-  void EvaluateUnowned(const UpstreamId& id, Upstream& upstream);
-  void EvaluateOwned(const UpstreamId& id, Upstream& upstream);
+  void ReconcileUnowned(const UpstreamId& id, Upstream& upstream);
+  void ReconcileOwned(const UpstreamId& id, Upstream& upstream);
   bool IsOwnerGone(const Upstream& upstream) const;
   EntryId PreferredOwner(const UpstreamId& id) const;
   void Claim(const UpstreamId& id, Upstream& upstream);
@@ -127,13 +127,13 @@
   void OnFenced(const UpstreamId& id, std::int64_t epoch, const UpstreamReply& reply);
   void Acquire(const UpstreamId& id, Upstream& upstream, const UpstreamReply& reply);
   void CommitFenced(const UpstreamId& id);
-  void CommitCover(const UpstreamId& id, std::int64_t epoch, AllotmentTransfer change);
+  void CommitTransfer(const UpstreamId& id, std::int64_t epoch, AllotmentTransfer transfer);
   void HandOver(const UpstreamId& id, Upstream& upstream, const EntryId& to);
-  void Lose(const UpstreamId& id, Upstream& upstream);
+  void DropOwnership(const UpstreamId& id, Upstream& upstream);
   void OnOwnRowChanged(const UpstreamId& id, Upstream& upstream);
   bool IsRecorded(const Upstream& upstream) const;
-  void ForgetUnlisted();
-  void Forget(const UpstreamId& id, const Upstream& upstream);
+  void RemoveUnlisted();
+  void Remove(const UpstreamId& id, const Upstream& upstream);
   void EmitChange(EventKind kind, const UpstreamId& id, const Upstream& upstream);
 
   Context& m_context;
@@ -143,7 +143,7 @@
   std::map<UpstreamId, Upstream> m_upstreams;
   Time m_next_handover;
   std::int64_t m_handovers = 0;
-  int m_open_releases = 0;
+  int m_pending_handovers = 0;
   bool m_rows_read = false;
 };
 
--- a/src/routing/preview_gateway.cc
+++ b/src/routing/preview_gateway.cc
@@ -84,7 +84,7 @@
     response.error = Error{reply.error, "", reply.output};
     response.raw = false;
   }
-  Answer(reply.call, response);
+  Respond(reply.call, response);
 }
 
 void PreviewGateway::Hedge(std::uint64_t call, std::int64_t attempt) {
@@ -129,10 +129,10 @@
   response.status = status;
   response.verdict = m_open.at(call).may_have_run ? Verdict::kMayHaveRun : Verdict::kNotRun;
   response.error = std::move(error);
-  Answer(call, response);
+  Respond(call, response);
 }
 
-void PreviewGateway::Answer(std::uint64_t call, const Response& response) {
+void PreviewGateway::Respond(std::uint64_t call, const Response& response) {
   const auto found = m_open.find(call);
   const RequestId request = found->second.request;
   m_open.erase(found);
--- a/src/routing/preview_gateway.h
+++ b/src/routing/preview_gateway.h
@@ -53,7 +53,7 @@
   void Retry(std::uint64_t call);
   void Hedge(std::uint64_t call, std::int64_t attempt);
   void OnDeadline(std::uint64_t call);
-  void Answer(std::uint64_t call, const Response& response);
+  void Respond(std::uint64_t call, const Response& response);
   void Fail(std::uint64_t call, int status, Error error);
 
   Context& m_context;
--- a/src/routing/router.cc
+++ b/src/routing/router.cc
@@ -13,15 +13,15 @@
     : m_context(context), m_config(config), m_membership(membership), m_executor(executor) {}
 
 void Router::RemovePendingDemand(const EntryId& owner, const Resources& demand) {
-  if (owner == m_context.self) m_debits[owner] -= demand;
+  if (owner == m_context.self) m_pending_demand[owner] -= demand;
 }
 
 bool Router::IsUsable(const TaskSpec& spec, const EntryId& id, const Summary& summary, bool must_fit) const {
   if (!summary.serving || m_config.config().domains_out.contains(summary.domain)) return false;
   if (!spec.domain.empty() && spec.domain != summary.domain) return false;
   if (!must_fit) return true;
-  const auto debit = m_debits.find(id);
-  const Resources free = debit == m_debits.end() ? summary.free : summary.free - debit->second;
+  const auto pending = m_pending_demand.find(id);
+  const Resources free = pending == m_pending_demand.end() ? summary.free : summary.free - pending->second;
   return spec.demand.FitsIn(summary.largest_free) && spec.demand.FitsIn(free);
 }
 
@@ -40,11 +40,11 @@
 }
 
 std::int64_t Router::FreeSlots(const EntryId& id) const {
-  const auto debit = m_debits.find(id);
-  const std::int64_t debited = debit == m_debits.end() ? 0 : debit->second.slots;
-  if (id == m_context.self) return m_executor.placer().Free().slots - debited;
+  const auto pending = m_pending_demand.find(id);
+  const std::int64_t pending_slots = pending == m_pending_demand.end() ? 0 : pending->second.slots;
+  if (id == m_context.self) return m_executor.placer().Free().slots - pending_slots;
   const auto peer = m_membership.peers().find(id);
-  return peer == m_membership.peers().end() ? 0 : peer->second.summary.free.slots - debited;
+  return peer == m_membership.peers().end() ? 0 : peer->second.summary.free.slots - pending_slots;
 }
 
 std::optional<EntryId> Router::BetterOfTwo(const std::vector<EntryId>& candidates) {
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -28,12 +28,12 @@
 
   /// A task was sent to an owner. Until the owner's next summary its free capacity counts as smaller, so that a burst
   /// of tasks does not all go to the owner that looked best before it.
-  void AddPendingDemand(const EntryId& owner, const Resources& demand) { m_debits[owner] += demand; }
+  void AddPendingDemand(const EntryId& owner, const Resources& demand) { m_pending_demand[owner] += demand; }
 
   /// A task that was sent to this entry itself has been placed or refused.
   void RemovePendingDemand(const EntryId& owner, const Resources& demand);
 
-  void OnSummary(const EntryId& owner) { m_debits.erase(owner); }
+  void OnSummary(const EntryId& owner) { m_pending_demand.erase(owner); }
 
   /// Owner for durable work: the less loaded of two entries drawn at random.
   std::optional<EntryId> ChooseForDurable(const TaskSpec& spec, const std::set<EntryId>& tried);
@@ -51,7 +51,7 @@
   const ConfigStore& m_config;
   const Membership& m_membership;
   const Executor& m_executor;
-  std::map<EntryId, Resources> m_debits;
+  std::map<EntryId, Resources> m_pending_demand;
 };
 
 }  // namespace jaymast
--- a/src/upstream/executor.cc
+++ b/src/upstream/executor.cc
@@ -56,13 +56,13 @@
   ExpireWaiting();
 }
 
-bool Executor::IsOut(const UpstreamInfo& info) const {
+bool Executor::IsOutOfService(const UpstreamInfo& info) const {
   const ClusterConfig& config = m_config.config();
   return info.leaving || config.domains_out.contains(info.domain) || config.upstreams_out.contains(info.id);
 }
 
 bool Executor::IsEligible(const OwnedUpstream& upstream) const {
-  return upstream.is_reachable && !IsOut(upstream.info) &&
+  return upstream.is_reachable && !IsOutOfService(upstream.info) &&
          upstream.health.MayPlace(static_cast<std::int64_t>(upstream.tasks.size())) &&
          m_attribution.MayStart(upstream.info.id, m_context.Now());
 }
@@ -83,15 +83,15 @@
   m_placer.SetPolicies(config.policies);
   LimitReturningDomain();
   UpdateEligibility();
-  EvacuateOut();
+  EvacuateOutOfService();
   Dispatch();
 }
 
 void Executor::LimitReturningDomain() {
   const DomainId& domain = m_context.settings.domain;
-  const bool is_out = m_config.config().domains_out.contains(domain);
-  const bool is_back = std::exchange(m_was_out, is_out) && !is_out;
-  if (!is_back) return;
+  const bool is_out_of_service = m_config.config().domains_out.contains(domain);
+  const bool is_returning = std::exchange(m_domain_was_out_of_service, is_out_of_service) && !is_out_of_service;
+  if (!is_returning) return;
   const Time now = m_context.Now();
   const auto upstreams = static_cast<std::int64_t>(m_upstreams.size());
   m_placer.LimitStarts(domain, now + m_context.settings.domain_return_ramp, upstreams * kReturnStartsPerUpstream, now);
@@ -105,7 +105,7 @@
     m_placer.PutUpstream(info);
   }
   UpdateEligibility();
-  EvacuateOut();
+  EvacuateOutOfService();
 }
 
 void Executor::Run(const RunRequest& request, const EntryId& from, RunDone done) {
@@ -137,18 +137,18 @@
 bool Executor::HasUsableUpstream() const {
   return std::any_of(m_upstreams.begin(), m_upstreams.end(), [this](const auto& item) {
     const OwnedUpstream& upstream = item.second;
-    return upstream.is_reachable && !IsOut(upstream.info) && !upstream.health.IsEjected();
+    return upstream.is_reachable && !IsOutOfService(upstream.info) && !upstream.health.IsEjected();
   });
 }
 
 void Executor::Dispatch() {
   if (m_dispatching || m_queue.size() == 0) return;
   m_dispatching = true;
-  ReserveBlocked(m_queue.Offer(m_context.Now(), [this](const WaitingTask& waiting) { return Place(waiting); }));
+  ReserveForBlocked(m_queue.Offer(m_context.Now(), [this](const WaitingTask& waiting) { return Place(waiting); }));
   m_dispatching = false;
 }
 
-void Executor::ReserveBlocked(const OfferReport& report) {
+void Executor::ReserveForBlocked(const OfferReport& report) {
   std::optional<AttemptId> first;
   if (!report.blocked.empty()) first = report.blocked.front();
   if (m_reserved == first) return;
@@ -194,7 +194,7 @@
   task.home = waiting.from;
   task.upstream = upstream;
   task.hold_deadline = now + m_context.settings.hold_duration;
-  SetPhase(task, OwnedPhase::kHeld);
+  SetPhase(task, OwnedTaskPhase::kHeld);
   m_attribution.OnStart(upstream, now);
   m_upstreams.at(upstream).tasks.insert(waiting.id);
   m_placer.Reserve(upstream, waiting.spec, now);
@@ -203,13 +203,13 @@
   return task;
 }
 
-void Executor::SetPhase(OwnedTask& task, OwnedPhase phase) {
+void Executor::SetPhase(OwnedTask& task, OwnedTaskPhase phase) {
   task.phase = phase;
   task.phase_since = m_context.Now();
 }
 
 std::int64_t Executor::RunnerNow(const OwnedUpstream& upstream) const {
-  return upstream.runner_now_ms + ToMillis(m_context.Now() - upstream.answered_at);
+  return upstream.runner_now_ms + ToMillis(m_context.Now() - upstream.last_reply_at);
 }
 
 void Executor::EmitStart(EventKind kind, const AttemptId& id, const OwnedTask& task, const std::string& verdict) {
@@ -230,7 +230,7 @@
 void Executor::StartRun(const AttemptId& id, WaitingRun run) {
   OwnedTask& task = m_tasks.at(id);
   OwnedUpstream& upstream = m_upstreams.at(task.upstream);
-  SetPhase(task, OwnedPhase::kStarting);
+  SetPhase(task, OwnedTaskPhase::kStarting);
   RunTaskRequest request;
   request.token = OwnerToken{m_context.self, upstream.epoch};
   request.spec = std::move(run.request.spec);
@@ -244,40 +244,40 @@
   const Time deadline = run.deadline;
   m_context.effects.CallUpstream(
       task.upstream, upstream.info.address, request, deadline,
-      [this, id, run = std::move(run)](const UpstreamReply& reply) { OnRunAnswered(id, run, reply); });
+      [this, id, run = std::move(run)](const UpstreamReply& reply) { OnRunTaskReply(id, run, reply); });
 }
 
-void Executor::OnRunAnswered(const AttemptId& id, const WaitingRun& run, const UpstreamReply& reply) {
+void Executor::OnRunTaskReply(const AttemptId& id, const WaitingRun& run, const UpstreamReply& reply) {
   --m_open_runs;
-  RunReply answer;
-  answer.call = run.request.call;
-  answer.id = id;
-  answer.verdict = VerdictOf(reply.status);
+  RunReply run_reply;
+  run_reply.call = run.request.call;
+  run_reply.id = id;
+  run_reply.verdict = VerdictOf(reply.status);
   const auto found = m_tasks.find(id);
   if (found != m_tasks.end()) {
-    EmitStart(EventKind::kStartAnswered, id, found->second, std::string(ToString(answer.verdict)));
+    EmitStart(EventKind::kStartAnswered, id, found->second, std::string(ToString(run_reply.verdict)));
     const UpstreamId upstream = found->second.upstream;
     if (reply.status == CallStatus::kOk) {
       const bool succeeded = reply.result == RunnerTaskState::kSucceeded;
       m_attribution.OnResult(upstream, found->second.spec, succeeded, m_context.Now());
     }
     if (reply.status == CallStatus::kUnknown) {
-      SetPhase(found->second, OwnedPhase::kUnresolved);
+      SetPhase(found->second, OwnedTaskPhase::kUnresolved);
     } else {
-      FreeCapacity(found->second);
+      ReleaseCapacity(found->second);
       Erase(id);
     }
     RecordHealth(upstream, reply.status == CallStatus::kOk);
     if (reply.status == CallStatus::kRefused) m_hooks.on_refused(upstream, reply.current);
   }
   if (reply.status == CallStatus::kOk) {
-    answer.output = reply.output;
-    if (reply.result != RunnerTaskState::kSucceeded) answer.error = ErrorId::kTaskFailed;
+    run_reply.output = reply.output;
+    if (reply.result != RunnerTaskState::kSucceeded) run_reply.error = ErrorId::kTaskFailed;
   } else {
-    answer.error = ErrorId::kUpstreamFailed;
-    answer.reason = reply.reason.empty() ? std::string(ToString(reply.status)) : reply.reason;
+    run_reply.error = ErrorId::kUpstreamFailed;
+    run_reply.reason = reply.reason.empty() ? std::string(ToString(reply.status)) : reply.reason;
   }
-  run.done(answer);
+  run.done(run_reply);
   Dispatch();
 }
 
@@ -285,7 +285,7 @@
   const AttemptId id{order.spec.id, order.attempt};
   const auto found = m_tasks.find(id);
   if (found == m_tasks.end()) {
-    if (m_lost_attempts.contains(id)) return;
+    if (m_former_attempts.contains(id)) return;
     // The hold expired, or this entry lost the upstream: the attempt was not started and cannot be started any more.
     TaskResult result;
     result.id = id;
@@ -293,9 +293,9 @@
     return m_hooks.send(from, result);
   }
   OwnedTask& task = found->second;
-  if (task.phase != OwnedPhase::kHeld) return;
+  if (task.phase != OwnedTaskPhase::kHeld) return;
   task.home = from;
-  const bool may_start = m_membership.MayStart() && !IsOut(m_upstreams.at(task.upstream).info);
+  const bool may_start = m_membership.MayStart() && !IsOutOfService(m_upstreams.at(task.upstream).info);
   if (!may_start || m_context.Now() >= task.hold_deadline || task.stop_requested) {
     return End(id, Outcome::kNotStarted, "the hold is not valid any more", 0, false);
   }
@@ -304,7 +304,7 @@
 
 void Executor::CallStart(const AttemptId& id, OwnedTask& task, const StartOrder& order) {
   OwnedUpstream& upstream = m_upstreams.at(task.upstream);
-  SetPhase(task, OwnedPhase::kStarting);
+  SetPhase(task, OwnedTaskPhase::kStarting);
   StartTaskRequest request;
   request.token = OwnerToken{m_context.self, upstream.epoch};
   request.spec = order.spec;
@@ -318,13 +318,13 @@
   const Time deadline = m_context.Now() + m_context.settings.upstream_call_timeout;
   m_context.effects.CallUpstream(
       task.upstream, upstream.info.address, request, deadline,
-      [this, id, home = task.home](const UpstreamReply& reply) { OnStartAnswered(id, home, reply); });
+      [this, id, home = task.home](const UpstreamReply& reply) { OnStartTaskReply(id, home, reply); });
 }
 
-void Executor::OnStartAnswered(const AttemptId& id, const EntryId& home, const UpstreamReply& reply) {
+void Executor::OnStartTaskReply(const AttemptId& id, const EntryId& home, const UpstreamReply& reply) {
   const auto found = m_tasks.find(id);
   const Verdict verdict = VerdictOf(reply.status);
-  if (found == m_tasks.end() || found->second.phase != OwnedPhase::kStarting) {
+  if (found == m_tasks.end() || found->second.phase != OwnedTaskPhase::kStarting) {
     if (found != m_tasks.end() || verdict != Verdict::kNotRun) return;
     // The upstream was lost meanwhile, but the answer is certain.
     TaskResult result;
@@ -337,7 +337,7 @@
   EmitStart(EventKind::kStartAnswered, id, task, std::string(ToString(verdict)));
   switch (reply.status) {
     case CallStatus::kOk:
-      SetPhase(task, OwnedPhase::kRunning);
+      SetPhase(task, OwnedTaskPhase::kRunning);
       // Declared run times are far off, so only learned ones count as a bound.
       if (m_estimator.IsTrusted(task.spec)) {
         task.overrun = OverrunDeadlines::ForRunTime(task.spec, m_estimator.For(task.spec), m_context.Now());
@@ -345,7 +345,7 @@
       if (task.stop_requested) CallStop(id, task);
       return;
     case CallStatus::kUnknown:
-      SetPhase(task, OwnedPhase::kUnresolved);
+      SetPhase(task, OwnedTaskPhase::kUnresolved);
       return RecordHealth(upstream, false);
     case CallStatus::kRefused:
       End(id, Outcome::kNotStarted, reply.reason, 0, false);
@@ -360,8 +360,8 @@
 void Executor::OnReleaseHold(const ReleaseHold& release) {
   m_queue.Erase(release.id);
   const auto found = m_tasks.find(release.id);
-  if (found == m_tasks.end() || found->second.phase != OwnedPhase::kHeld) return;
-  FreeCapacity(found->second);
+  if (found == m_tasks.end() || found->second.phase != OwnedTaskPhase::kHeld) return;
+  ReleaseCapacity(found->second);
   Erase(release.id);
   Dispatch();
 }
@@ -380,12 +380,12 @@
   }
   const WaitingRun refused = std::move(run->second);
   m_waiting_runs.erase(run);
-  RunReply answer;
-  answer.call = refused.request.call;
-  answer.id = waiting.id;
-  answer.error = error;
-  answer.reason = reason;
-  refused.done(answer);
+  RunReply run_reply;
+  run_reply.call = refused.request.call;
+  run_reply.id = waiting.id;
+  run_reply.error = error;
+  run_reply.reason = reason;
+  refused.done(run_reply);
 }
 
 void Executor::RefuseAllWaiting() {
@@ -396,7 +396,7 @@
   for (const WaitingTask& waiting : m_queue.TakeExpired(m_context.Now())) RefuseWaiting(waiting);
   ExpireHolds();
   ResendResults();
-  std::erase_if(m_lost_attempts, [now = m_context.Now()](const auto& item) { return item.second <= now; });
+  std::erase_if(m_former_attempts, [now = m_context.Now()](const auto& item) { return item.second <= now; });
   for (auto& [id, upstream] : m_upstreams) upstream.health.OnTick(m_context.Now());
   UpdateEligibility();
   Dispatch();
@@ -407,18 +407,19 @@
   const Time now = m_context.Now();
   std::vector<AttemptId> expired;
   for (const auto& [id, task] : m_tasks) {
-    if (task.phase == OwnedPhase::kHeld && task.hold_deadline <= now) expired.push_back(id);
+    if (task.phase == OwnedTaskPhase::kHeld && task.hold_deadline <= now) expired.push_back(id);
   }
   for (const AttemptId& id : expired) {
-    FreeCapacity(m_tasks.at(id));
+    ReleaseCapacity(m_tasks.at(id));
     Erase(id);
   }
 }
 
 std::size_t Executor::RunningCount() const {
   return static_cast<std::size_t>(std::count_if(m_tasks.begin(), m_tasks.end(), [](const auto& entry) {
-    const OwnedPhase phase = entry.second.phase;
-    return phase == OwnedPhase::kStarting || phase == OwnedPhase::kRunning || phase == OwnedPhase::kUnresolved;
+    const OwnedTaskPhase phase = entry.second.phase;
+    return phase == OwnedTaskPhase::kStarting || phase == OwnedTaskPhase::kRunning ||
+           phase == OwnedTaskPhase::kUnresolved;
   }));
 }
 
--- a/src/upstream/executor.h
+++ b/src/upstream/executor.h
@@ -52,7 +52,7 @@
   void OnStopOrder(const StopOrder& order);
   void OnResultAck(const TaskResultAck& ack);
 
-  void OnAcquired(const AcquiredUpstream& acquisition);
+  void OnAcquired(const AcquiredUpstream& acquired);
   void OnOwnershipLost(const UpstreamId& id);
   void OnCommitted(const UpstreamId& id);
   void OnLeasesExpired(const UpstreamId& id);
@@ -97,21 +97,21 @@
 
   // Placing and starting.
   OfferOutcome Place(const WaitingTask& waiting);
-  void ReserveBlocked(const OfferReport& report);
+  void ReserveForBlocked(const OfferReport& report);
   void LimitReturningDomain();
   bool IsEligible(const OwnedUpstream& upstream) const;
-  bool IsOut(const UpstreamInfo& info) const;
+  bool IsOutOfService(const UpstreamInfo& info) const;
   void UpdateEligibility();
   void UpdateEligibility(const UpstreamId& id);
   OwnedTask& Hold(const WaitingTask& waiting, const UpstreamId& upstream);
   void StartRun(const AttemptId& id, WaitingRun run);
-  void OnRunAnswered(const AttemptId& id, const WaitingRun& run, const UpstreamReply& reply);
+  void OnRunTaskReply(const AttemptId& id, const WaitingRun& run, const UpstreamReply& reply);
   void CallStart(const AttemptId& id, OwnedTask& task, const StartOrder& order);
-  void OnStartAnswered(const AttemptId& id, const EntryId& home, const UpstreamReply& reply);
+  void OnStartTaskReply(const AttemptId& id, const EntryId& home, const UpstreamReply& reply);
   void RefuseWaiting(const WaitingTask& waiting);
   void ExpireWaiting();
   void ExpireHolds();
-  void SetPhase(OwnedTask& task, OwnedPhase phase);
+  void SetPhase(OwnedTask& task, OwnedTaskPhase phase);
   std::int64_t RunnerNow(const OwnedUpstream& upstream) const;
   void EmitStart(EventKind kind, const AttemptId& id, const OwnedTask& task, const std::string& verdict);
 
@@ -126,15 +126,15 @@
   void ApplyReport(const UpstreamId& id, OwnedUpstream& upstream, Time sent_at, const UpstreamReply& reply);
   void ApplyRunnerTask(const UpstreamId& id, OwnedUpstream& upstream, const RunnerTask& report);
   void AddReported(const UpstreamId& id, OwnedUpstream& upstream, const RunnerTask& report);
-  void ResolveMissing(const AttemptId& id, OwnedTask& task, Time sent_at, std::int64_t runner_now_ms);
+  void ResolveUnreported(const AttemptId& id, OwnedTask& task, Time sent_at, std::int64_t runner_now_ms);
   void End(const AttemptId& id, Outcome outcome, const std::string& output, std::int64_t run_ms, bool is_from_runner);
-  void FreeCapacity(const OwnedTask& task);
+  void ReleaseCapacity(const OwnedTask& task);
   void Erase(const AttemptId& id);
   void SendResult(OwnedTask& task);
   void ResendResults();
   void RequestStop(const AttemptId& id, OwnedTask& task, StopMode mode);
   void CallStop(const AttemptId& id, const OwnedTask& task);
-  void EvacuateOut();
+  void EvacuateOutOfService();
   void CheckOverruns();
   void RecordHealth(const UpstreamId& id, bool success);
 
@@ -148,15 +148,15 @@
   Estimator m_estimator;
   AdmissionQueue m_queue;
   FailureAttribution m_attribution;
-  bool m_was_out = false;               ///< the own failure domain was out of service in the last configuration
-  std::optional<AttemptId> m_reserved;  ///< waiting task for which a start is reserved
+  bool m_domain_was_out_of_service = false;  ///< the own failure domain was out of service in the last configuration
+  std::optional<AttemptId> m_reserved;       ///< waiting task for which a start is reserved
   TaskSpec m_reserved_spec;
   std::map<UpstreamId, OwnedUpstream> m_upstreams;
   std::map<AttemptId, OwnedTask> m_tasks;
   std::map<AttemptId, WaitingRun> m_waiting_runs;
   /// Attempts that were started on an upstream which this entry lost, until when they are remembered. A repeated start
   /// order must not be answered as not started.
-  std::map<AttemptId, Time> m_lost_attempts;
+  std::map<AttemptId, Time> m_former_attempts;
   std::size_t m_open_runs = 0;
   bool m_dispatching = false;
 };
--- a/src/upstream/executor_reports.cc
+++ b/src/upstream/executor_reports.cc
@@ -13,18 +13,18 @@
 namespace {
 
 /// How often due reports are looked for, and the shortest time between two reports of a runner.
-constexpr Duration kReportSweep = std::chrono::milliseconds(50);
+constexpr Duration kReportSweepInterval = std::chrono::milliseconds(50);
 constexpr Duration kMinReportInterval = std::chrono::milliseconds(100);
 
 /// How long after the expected end of a task its runner is asked out of turn. Each report lists all tasks of the
 /// runner.
-constexpr Duration kOverdue = std::chrono::milliseconds(300);
+constexpr Duration kMaxOverdue = std::chrono::milliseconds(300);
 
-constexpr Duration kOverrunSweep = std::chrono::seconds(1);
+constexpr Duration kOverrunSweepInterval = std::chrono::seconds(1);
 constexpr Duration kResendInterval = std::chrono::seconds(1);
 
 /// Longer than any frame can be delayed between entries.
-constexpr Duration kLostAttemptMemory = std::chrono::seconds(60);
+constexpr Duration kFormerAttemptRetention = std::chrono::seconds(60);
 
 Outcome OutcomeOf(RunnerTaskState state) {
   switch (state) {
@@ -58,30 +58,30 @@
 bool IsLeased(const OwnedTask& task) { return !task.is_preview; }
 
 bool IsActive(const OwnedTask& task) {
-  return task.phase == OwnedPhase::kStarting || task.phase == OwnedPhase::kUnresolved ||
-         task.phase == OwnedPhase::kRunning;
+  return task.phase == OwnedTaskPhase::kStarting || task.phase == OwnedTaskPhase::kUnresolved ||
+         task.phase == OwnedTaskPhase::kRunning;
 }
 
 }  // namespace
 
-void Executor::OnAcquired(const AcquiredUpstream& acquisition) {
-  const UpstreamId& id = acquisition.info.id;
+void Executor::OnAcquired(const AcquiredUpstream& acquired) {
+  const UpstreamId& id = acquired.info.id;
   m_allotments.DropRetainedUsage(id);
   OwnedUpstream& upstream = m_upstreams[id];
-  upstream.info = acquisition.info;
-  upstream.epoch = acquisition.epoch;
-  upstream.reset_epoch = acquisition.reset_epoch;
-  upstream.is_committed = acquisition.is_committed;
+  upstream.info = acquired.info;
+  upstream.epoch = acquired.epoch;
+  upstream.reset_epoch = acquired.reset_epoch;
+  upstream.is_committed = acquired.is_committed;
   upstream.is_reachable = true;
-  upstream.runner_now_ms = acquisition.reply->now_ms;
-  upstream.answered_at = m_context.Now();
-  m_placer.PutUpstream(acquisition.info);
-  for (const RunnerTask& report : acquisition.reply->tasks) {
+  upstream.runner_now_ms = acquired.reply->now_ms;
+  upstream.last_reply_at = m_context.Now();
+  m_placer.PutUpstream(acquired.info);
+  for (const RunnerTask& report : acquired.reply->tasks) {
     AddReported(id, upstream, report);
     if (report.state == RunnerTaskState::kRunning) ++upstream.inherited[report.team];
   }
   UpdateEligibility();
-  EvacuateOut();
+  EvacuateOutOfService();
   Dispatch();
 }
 
@@ -97,7 +97,7 @@
   task.upstream = id;
   task.is_preview = is_preview;
   upstream.tasks.insert(report.id);
-  SetPhase(task, OwnedPhase::kRunning);
+  SetPhase(task, OwnedTaskPhase::kRunning);
   m_placer.Reserve(id, task.spec, m_context.Now());
   m_fair_share.Add(task.spec.team, task.spec.demand, m_context.Now());
   m_allotments.CountInherited(task.spec.team, 1);
@@ -109,22 +109,22 @@
 void Executor::OnOwnershipLost(const UpstreamId& id) {
   const auto upstream = m_upstreams.find(id);
   if (upstream == m_upstreams.end()) return;
-  std::map<TeamId, std::int64_t> lent;
+  std::map<TeamId, std::int64_t> retained;
   const std::set<AttemptId> tasks = upstream->second.tasks;
   for (const AttemptId& attempt : tasks) {
     OwnedTask& task = m_tasks.at(attempt);
     if (IsActive(task)) {
-      ++lent[task.spec.team];
-      m_lost_attempts[attempt] = m_context.Now() + kLostAttemptMemory;
+      ++retained[task.spec.team];
+      m_former_attempts[attempt] = m_context.Now() + kFormerAttemptRetention;
       m_fair_share.Remove(task.spec.team, task.spec.demand, m_context.Now());
-    } else if (task.phase == OwnedPhase::kHeld) {
-      FreeCapacity(task);
+    } else if (task.phase == OwnedTaskPhase::kHeld) {
+      ReleaseCapacity(task);
     }
     // The next owner learns results that the runner holds; the others are known to this entry only.
-    const bool is_only_here = task.phase == OwnedPhase::kEnded && !task.is_from_runner;
-    if (!is_only_here) m_tasks.erase(attempt);
+    const bool is_only_copy = task.phase == OwnedTaskPhase::kEnded && !task.is_from_runner;
+    if (!is_only_copy) m_tasks.erase(attempt);
   }
-  if (!lent.empty()) m_allotments.RetainUsage(id, lent);
+  if (!retained.empty()) m_allotments.RetainUsage(id, retained);
   m_placer.RemoveUpstream(id);
   m_upstreams.erase(upstream);
   UpdateEligibility();
@@ -168,7 +168,7 @@
   for (auto& [id, upstream] : m_upstreams) {
     if (now >= std::min(upstream.next_renewal, NextRenewal(upstream))) Renew(id, upstream);
   }
-  m_context.After(kReportSweep, [this] { RenewDue(); });
+  m_context.After(kReportSweepInterval, [this] { RenewDue(); });
 }
 
 Time Executor::NextRenewal(const OwnedUpstream& upstream) const {
@@ -177,12 +177,12 @@
   Time next = upstream.next_renewal;
   for (const AttemptId& id : upstream.tasks) {
     const OwnedTask& task = m_tasks.at(id);
-    if (task.is_preview || task.phase != OwnedPhase::kRunning) continue;
+    if (task.is_preview || task.phase != OwnedTaskPhase::kRunning) continue;
     const std::int64_t run_ms = m_estimator.For(task.spec).run_ms;
     const Time end = task.phase_since + std::chrono::milliseconds(run_ms);
     // A task without an estimate, or long past its expected end, waits for the regular renewal.
-    const bool is_predictable = run_ms > 0 && upstream.answered_at < end + kOverdue;
-    if (is_predictable) next = std::min(next, std::max(end, upstream.answered_at + kMinReportInterval));
+    const bool is_predictable = run_ms > 0 && upstream.last_reply_at < end + kMaxOverdue;
+    if (is_predictable) next = std::min(next, std::max(end, upstream.last_reply_at + kMinReportInterval));
   }
   return next;
 }
@@ -230,7 +230,7 @@
   for (const AttemptId& attempt : request.acknowledged) upstream.acknowledged.erase(attempt);
   upstream.is_reachable = true;
   upstream.runner_now_ms = reply.now_ms;
-  upstream.answered_at = m_context.Now();
+  upstream.last_reply_at = m_context.Now();
   ApplyReport(id, upstream, sent_at, reply);
   UpdateEligibility(id);
   Dispatch();
@@ -239,12 +239,12 @@
 void Executor::OnRenewFailed(const UpstreamId& id, OwnedUpstream& upstream) {
   upstream.is_reachable = false;
   UpdateEligibility(id);
-  const Time lapsed_at = upstream.answered_at + m_context.settings.task_lease + m_context.settings.drift_bound;
+  const Time leases_expire_at = upstream.last_reply_at + m_context.settings.task_lease + m_context.settings.drift_bound;
   const bool has_leases = std::any_of(upstream.tasks.begin(), upstream.tasks.end(), [this](const AttemptId& attempt) {
     const OwnedTask& task = m_tasks.at(attempt);
     return IsLeased(task) && IsActive(task);
   });
-  if (has_leases && m_context.Now() >= lapsed_at) m_hooks.on_unreachable(id);
+  if (has_leases && m_context.Now() >= leases_expire_at) m_hooks.on_unreachable(id);
 }
 
 void Executor::ApplyReport(const UpstreamId& id, OwnedUpstream& upstream, Time sent_at, const UpstreamReply& reply) {
@@ -257,7 +257,7 @@
   for (const AttemptId& attempt : tasks) {
     const auto task = m_tasks.find(attempt);
     if (task != m_tasks.end() && !reported.contains(attempt)) {
-      ResolveMissing(attempt, task->second, sent_at, reply.now_ms);
+      ResolveUnreported(attempt, task->second, sent_at, reply.now_ms);
     }
   }
 }
@@ -267,54 +267,54 @@
   const auto found = m_tasks.find(report.id);
   if (found == m_tasks.end()) return AddReported(id, upstream, report);
   OwnedTask& task = found->second;
-  if (task.phase == OwnedPhase::kEnded || task.phase == OwnedPhase::kHeld) return;
+  if (task.phase == OwnedTaskPhase::kEnded || task.phase == OwnedTaskPhase::kHeld) return;
   if (report.state == RunnerTaskState::kRunning) {
     // The answer to a preview's run request is still open when it is starting.
-    const bool is_resolved = task.phase == OwnedPhase::kUnresolved && !task.is_preview;
-    if (is_resolved) SetPhase(task, OwnedPhase::kRunning);
-    if (task.stop_requested && task.phase == OwnedPhase::kRunning) CallStop(report.id, task);
+    const bool is_resolved = task.phase == OwnedTaskPhase::kUnresolved && !task.is_preview;
+    if (is_resolved) SetPhase(task, OwnedTaskPhase::kRunning);
+    if (task.stop_requested && task.phase == OwnedTaskPhase::kRunning) CallStop(report.id, task);
     return;
   }
   if (task.is_preview) {
     upstream.acknowledged.insert(report.id);
-    if (task.phase == OwnedPhase::kStarting) return;
-    FreeCapacity(task);
+    if (task.phase == OwnedTaskPhase::kStarting) return;
+    ReleaseCapacity(task);
     return Erase(report.id);
   }
   RecordHealth(id, true);
-  const bool is_judged = report.state == RunnerTaskState::kSucceeded || report.state == RunnerTaskState::kFailed;
-  if (is_judged) {
+  const bool has_verdict = report.state == RunnerTaskState::kSucceeded || report.state == RunnerTaskState::kFailed;
+  if (has_verdict) {
     m_attribution.OnResult(id, task.spec, report.state == RunnerTaskState::kSucceeded, m_context.Now());
   }
   if (report.state == RunnerTaskState::kSucceeded) m_estimator.Record(task.spec, report.run_ms, report.usage);
   End(report.id, OutcomeOf(report.state), report.output, report.run_ms, true);
 }
 
-void Executor::ResolveMissing(const AttemptId& id, OwnedTask& task, Time sent_at, std::int64_t runner_now_ms) {
+void Executor::ResolveUnreported(const AttemptId& id, OwnedTask& task, Time sent_at, std::int64_t runner_now_ms) {
   // A report that was requested before the phase began may have been made before the start took effect.
   if (sent_at <= task.phase_since) return;
-  if (task.phase == OwnedPhase::kUnresolved && runner_now_ms > task.start_by_ms) {
+  if (task.phase == OwnedTaskPhase::kUnresolved && runner_now_ms > task.start_by_ms) {
     if (!task.is_preview) return End(id, Outcome::kNotStarted, "the start did not reach the runner", 0, false);
-    FreeCapacity(task);
+    ReleaseCapacity(task);
     return Erase(id);
   }
-  if (task.phase != OwnedPhase::kRunning) return;
+  if (task.phase != OwnedTaskPhase::kRunning) return;
   if (!task.is_preview) return End(id, Outcome::kLapsed, "the runner does not know the task", 0, false);
-  FreeCapacity(task);
+  ReleaseCapacity(task);
   Erase(id);
 }
 
 void Executor::End(const AttemptId& id, Outcome outcome, const std::string& output, std::int64_t run_ms,
                    bool is_from_runner) {
   OwnedTask& task = m_tasks.at(id);
-  FreeCapacity(task);
-  SetPhase(task, OwnedPhase::kEnded);
+  ReleaseCapacity(task);
+  SetPhase(task, OwnedTaskPhase::kEnded);
   task.is_from_runner = is_from_runner;
   task.result = TaskResult{id, outcome, task.upstream, run_ms, output};
   SendResult(task);
 }
 
-void Executor::FreeCapacity(const OwnedTask& task) {
+void Executor::ReleaseCapacity(const OwnedTask& task) {
   const Time now = m_context.Now();
   m_placer.Release(task.upstream, task.spec, now);
   m_fair_share.Remove(task.spec.team, task.spec.demand, now);
@@ -340,13 +340,13 @@
 void Executor::ResendResults() {
   const Time now = m_context.Now();
   for (auto& [id, task] : m_tasks) {
-    if (task.phase == OwnedPhase::kEnded && task.next_send <= now) SendResult(task);
+    if (task.phase == OwnedTaskPhase::kEnded && task.next_send <= now) SendResult(task);
   }
 }
 
 void Executor::OnResultAck(const TaskResultAck& ack) {
   const auto task = m_tasks.find(ack.id);
-  if (task == m_tasks.end() || task->second.phase != OwnedPhase::kEnded) return;
+  if (task == m_tasks.end() || task->second.phase != OwnedTaskPhase::kEnded) return;
   const auto upstream = m_upstreams.find(task->second.upstream);
   if (task->second.is_from_runner && upstream != m_upstreams.end()) upstream->second.acknowledged.insert(ack.id);
   Erase(ack.id);
@@ -357,8 +357,8 @@
   if (found != m_tasks.end()) {
     OwnedTask& task = found->second;
     task.home = from;
-    if (task.phase == OwnedPhase::kHeld) return End(probe.id, Outcome::kNotStarted, "probed while held", 0, false);
-    if (task.phase == OwnedPhase::kEnded) return SendResult(task);
+    if (task.phase == OwnedTaskPhase::kHeld) return End(probe.id, Outcome::kNotStarted, "probed while held", 0, false);
+    if (task.phase == OwnedTaskPhase::kEnded) return SendResult(task);
     return m_hooks.send(from, TaskRunning{probe.id});
   }
   const auto upstream = m_upstreams.find(probe.upstream);
@@ -377,8 +377,8 @@
   const auto found = m_tasks.find(order.id);
   if (found == m_tasks.end()) return;
   OwnedTask& task = found->second;
-  if (task.phase == OwnedPhase::kEnded) return;
-  if (task.phase == OwnedPhase::kHeld) return End(order.id, Outcome::kNotStarted, "stopped while held", 0, false);
+  if (task.phase == OwnedTaskPhase::kEnded) return;
+  if (task.phase == OwnedTaskPhase::kHeld) return End(order.id, Outcome::kNotStarted, "stopped while held", 0, false);
   RequestStop(order.id, task, order.mode);
 }
 
@@ -387,7 +387,7 @@
   if (mode == StopMode::kCheckpoint && task.spec.semantics == Semantics::kAtMostOnce) return;
   task.stop_requested = true;
   task.stop_mode = mode;
-  if (task.phase == OwnedPhase::kRunning) CallStop(id, task);
+  if (task.phase == OwnedTaskPhase::kRunning) CallStop(id, task);
 }
 
 void Executor::CallStop(const AttemptId& id, const OwnedTask& task) {
@@ -405,7 +405,7 @@
 void Executor::CheckOverruns() {
   const Time now = m_context.Now();
   for (auto& [id, task] : m_tasks) {
-    const bool is_watched = task.phase == OwnedPhase::kRunning && !task.is_preview && !task.stop_requested;
+    const bool is_watched = task.phase == OwnedTaskPhase::kRunning && !task.is_preview && !task.stop_requested;
     if (!is_watched) continue;
     const OverrunAction action = task.overrun.ActionAt(now);
     if (action == task.overrun_action) continue;
@@ -420,13 +420,13 @@
       RequestStop(id, task, *mode);
     }
   }
-  m_context.After(kOverrunSweep, [this] { CheckOverruns(); });
+  m_context.After(kOverrunSweepInterval, [this] { CheckOverruns(); });
 }
 
-void Executor::EvacuateOut() {
+void Executor::EvacuateOutOfService() {
   for (auto& [id, task] : m_tasks) {
     const auto upstream = m_upstreams.find(task.upstream);
-    if (upstream == m_upstreams.end() || !IsOut(upstream->second.info)) continue;
+    if (upstream == m_upstreams.end() || !IsOutOfService(upstream->second.info)) continue;
     const bool is_movable = !task.is_preview && IsActive(task);
     if (is_movable && !task.stop_requested) RequestStop(id, task, StopMode::kCheckpoint);
   }
--- a/src/upstream/owned_task.h
+++ b/src/upstream/owned_task.h
@@ -12,7 +12,7 @@
 namespace jaymast {
 
 /// Phase of an attempt at its owner.
-enum class OwnedPhase {
+enum class OwnedTaskPhase {
   kHeld,        ///< capacity is reserved, the start order is awaited
   kStarting,    ///< the start request is open
   kUnresolved,  ///< the answer to the start request was lost
@@ -25,7 +25,7 @@
   TaskSpec spec;
   EntryId home;
   UpstreamId upstream;
-  OwnedPhase phase = OwnedPhase::kHeld;
+  OwnedTaskPhase phase = OwnedTaskPhase::kHeld;
   bool is_preview = false;
   bool is_from_runner = false;  ///< the runner keeps the result until it is acknowledged
   bool stop_requested = false;
--- a/src/upstream/owned_upstream.h
+++ b/src/upstream/owned_upstream.h
@@ -23,7 +23,7 @@
   bool is_renewing = false;
   std::int64_t runner_now_ms = 0;  ///< the runner's clock in its last answer
   Time next_renewal;               ///< when the runner is asked at the latest
-  Time answered_at;                ///< when that answer arrived
+  Time last_reply_at;              ///< when that answer arrived
   UpstreamHealth health;
   std::set<AttemptId> tasks;
   std::set<AttemptId> acknowledged;          ///< results that the runner may drop
--- a/src/upstream/upstream_health.cc
+++ b/src/upstream/upstream_health.cc
@@ -38,19 +38,19 @@
       return machine.m_failures + 1 >= kFailuresToEject;
     }
   };
-  struct IsPauseOver {
+  struct IsEjectionOver {
     template <typename Fsm, typename Source, typename Target>
     bool operator()(const Tick& tick, Fsm& machine, Source& /*source*/, Target& /*target*/) const {
       return tick.now >= machine.m_ejected_until;
     }
   };
-  struct Count {
+  struct CountFailure {
     template <typename Event, typename Fsm, typename Source, typename Target>
     void operator()(const Event& /*event*/, Fsm& machine, Source& /*source*/, Target& /*target*/) const {
       ++machine.m_failures;
     }
   };
-  struct Clear {
+  struct ClearFailures {
     template <typename Event, typename Fsm, typename Source, typename Target>
     void operator()(const Event& /*event*/, Fsm& machine, Source& /*source*/, Target& /*target*/) const {
       machine.m_failures = 0;
@@ -59,8 +59,8 @@
   struct Eject {
     template <typename Fsm, typename Source, typename Target>
     void operator()(const Failure& failure, Fsm& machine, Source& /*source*/, Target& /*target*/) const {
-      machine.m_ejected_until = failure.now + machine.m_pause;
-      machine.m_pause = std::min(machine.m_pause * 2, kMaxEjection);
+      machine.m_ejected_until = failure.now + machine.m_next_ejection;
+      machine.m_next_ejection = std::min(machine.m_next_ejection * 2, kMaxEjection);
       machine.m_phase = Phase::kEjected;
     }
   };
@@ -74,7 +74,7 @@
     template <typename Event, typename Fsm, typename Source, typename Target>
     void operator()(const Event& /*event*/, Fsm& machine, Source& /*source*/, Target& /*target*/) const {
       machine.m_failures = 0;
-      machine.m_pause = kFirstEjection;
+      machine.m_next_ejection = kFirstEjection;
       machine.m_phase = Phase::kHealthy;
     }
   };
@@ -83,12 +83,12 @@
   // The name is required by Boost.MSM.
   // NOLINTNEXTLINE(readability-identifier-naming)
   struct transition_table : boost::mpl::vector<
-      Row<Healthy, Success, none,    Clear,   none>,
-      Row<Healthy, Failure, none,    Count,   none>,
-      Row<Healthy, Failure, Ejected, Eject,   ReachesThreshold>,
-      Row<Ejected, Tick,    Probing, Probe,   IsPauseOver>,
-      Row<Probing, Success, Healthy, Restore, none>,
-      Row<Probing, Failure, Ejected, Eject,   none>> {};
+      Row<Healthy, Success, none,    ClearFailures, none>,
+      Row<Healthy, Failure, none,    CountFailure,  none>,
+      Row<Healthy, Failure, Ejected, Eject,         ReachesThreshold>,
+      Row<Ejected, Tick,    Probing, Probe,         IsEjectionOver>,
+      Row<Probing, Success, Healthy, Restore,       none>,
+      Row<Probing, Failure, Ejected, Eject,         none>> {};
   // clang-format on
 
   template <typename Event, typename Fsm>
@@ -98,7 +98,7 @@
 
   Phase m_phase = Phase::kHealthy;
   int m_failures = 0;
-  Duration m_pause = kFirstEjection;  ///< length of the next ejection
+  Duration m_next_ejection = kFirstEjection;  ///< length of the next ejection
   Time m_ejected_until;
 };
 
