--- a/src/core/views.cc
+++ b/src/core/views.cc
@@ -29,7 +29,7 @@
           {"entries", static_cast<std::int64_t>(membership.peers().size() + 1)},
           {"owned_upstreams", static_cast<std::int64_t>(node.ownership().OwnedCount())},
           {"free", ToJson(node.executor().placer().Free())},
-          {"capacity", ToJson(node.executor().placer().Capacity())},
+          {"capacity", ToJson(node.executor().placer().TotalCapacity())},
           {"running", static_cast<std::int64_t>(node.executor().RunningCount())},
           {"waiting_at_owner", static_cast<std::int64_t>(node.executor().waiting())},
           {"queued", static_cast<std::int64_t>(node.tasks().queued())}};
