--- a/src/configuration/config_store.h
+++ b/src/configuration/config_store.h
@@ -17,34 +17,34 @@
 
 inline constexpr std::string_view kConfigKey = "config";
 
-/// Who presented a key.
+/// Holder of an authenticated key.
 struct Principal {
   KeyId key;
   TeamId team;
   Role role = Role::kSubmitter;
 };
 
-/// The configuration in force at this entry. Its version never goes down.
+/// Holds the configuration that this entry applies. Its version never decreases.
 class ConfigStore {
  public:
-  /// @param on_install called after a newer configuration came into force
+  /// @param on_install called after a newer configuration was installed
   ConfigStore(Context& context, std::function<void()> on_install);
 
   const ClusterConfig& config() const { return m_config; }
   std::int64_t row_version() const { return m_row_version; }
   bool IsLoaded() const { return m_config.version > 0; }
 
-  /// Takes in the row `config` as read from the table.
+  /// Installs the row `config` of the table if it is newer.
   void OnRow(const Row& row);
 
-  /// Takes in a configuration pushed by another entry.
+  /// Installs a configuration pushed by another entry if it is newer.
   void OnPush(const std::string& text);
 
-  /// Takes in a configuration that this entry committed.
+  /// Installs a configuration that this entry committed.
   void OnCommitted(const ClusterConfig& config, std::int64_t row_version);
 
   /// Finds the key with this secret.
-  /// @return who presented it, or kKeyMissing or kKeyUnknown
+  /// @return the holder of the key, or kKeyMissing or kKeyUnknown
   Result<Principal> Authenticate(const std::string& secret) const;
 
  private:
--- a/src/configuration/plan_service.cc
+++ b/src/configuration/plan_service.cc
@@ -19,7 +19,7 @@
 
 namespace json = boost::json;
 
-/// A change is to be in force everywhere within this time; a confirmation that is not answers with who is missing.
+/// Time for all entries to acknowledge a change. After it, the response lists the entries that have not.
 constexpr Duration kAcknowledgementTimeout = std::chrono::seconds(3);
 constexpr Duration kCheckInterval = std::chrono::milliseconds(100);
 
@@ -165,7 +165,7 @@
     confirmed.target.version = m_config.config().version + 1;
     writes.push_back({std::string(kConfigKey), json::serialize(ToJson(confirmed.target))});
   }
-  // The intents to run are recorded with the confirmation, so that another entry submits them if this one dies.
+  // The runs are recorded with the confirmation, so that another entry submits them if this one fails.
   if (HasRuns(plan.intents)) {
     writes.push_back({ConfirmedKey(id), json::serialize(EncodePlan(plan.base_version, plan.intents))});
   }
@@ -177,7 +177,7 @@
                      case CommitOutcome::kCommitted:
                        return OnCommitted(request, confirmed, changes_config, version);
                      case CommitOutcome::kConflict:
-                       // Another operator was faster. The next read finds the new version or the plan gone.
+                       // Another transaction came first. The next read shows a newer configuration or a deleted plan.
                        return Confirm(request, confirmed.id, confirmed.base_version);
                      case CommitOutcome::kUnavailable:
                        return Fail(request, kStatusUnavailable,
@@ -242,7 +242,7 @@
     if (!row.key.starts_with(kOwnerPrefix)) continue;
     const Result<OwnerRecord> record = DecodeOwnerRecord(row.value);
     if (!record) continue;
-    // An entry whose record is gone may still start work on upstreams that nobody else has fenced.
+    // An entry without a lease record may still start tasks on upstreams that no other entry has fenced.
     for (const EntryId& id : {record->owner, record->covered_by}) {
       if (!id.empty() && !present.contains(id)) missing.insert(id);
     }
--- a/src/configuration/plan_service.h
+++ b/src/configuration/plan_service.h
@@ -21,31 +21,33 @@
 class Membership;
 class TaskManager;
 
-/// Prefix of the rows of confirmed plans whose tasks are being submitted.
+/// Prefix of the rows of confirmed plans whose tasks may not have been submitted yet.
 inline constexpr std::string_view kConfirmedPrefix = "confirmed/";
 
-/// Plans and confirmations of operators.
+/// Makes plans from the intents of operators and carries out confirmed plans.
 class PlanService {
  public:
   struct Hooks {
     std::function<PlannerFacts()> facts;
-    std::function<void(const ClusterConfig&)> push;  ///< tells all entries of a new configuration
+    std::function<void(const ClusterConfig&)> push;  ///< sends a new configuration to all entries
   };
 
   PlanService(Context& context, TableClient& table, ConfigStore& config, const Membership& membership,
               TaskManager& tasks, Hooks hooks);
 
-  /// Answers intents with a plan. The plan is kept in the table, so that any entry can confirm it.
+  /// Responds to intents with a plan. The plan is stored in the table, so that any entry can confirm it.
   void Plan(RequestId request, const std::vector<Intent>& intents);
 
-  /// Carries out a plan if the configuration still has the version that the plan was made from.
+  /// Carries out a plan if the configuration still has the version on which the plan is based. Otherwise responds with
+  /// a new plan.
   void Confirm(RequestId request, const PlanId& plan, std::int64_t base_version);
 
-  /// Takes in rows of confirmed plans whose tasks may not have been submitted yet.
+  /// Submits the tasks of confirmed plans that may not have been submitted yet.
   void OnConfirmedRows(const std::vector<Row>& rows);
 
-  /// Takes in the lease records and owner rows of the whole fleet while a change waits for acknowledgements.
-  /// @return entries that may still start work under an older version
+  /// Finds entries that may still start tasks under an older configuration.
+  /// @param rows lease records and owner rows of all entries
+  /// @param version configuration version that the entries have to acknowledge
   std::vector<EntryId> FindEntriesOnOlderConfig(const std::vector<Row>& rows, std::int64_t version) const;
 
   bool IsIdle() const { return m_open_transactions == 0 && m_pending_confirmations.empty(); }
--- a/src/configuration/planner.cc
+++ b/src/configuration/planner.cc
@@ -8,7 +8,7 @@
 namespace jaymast {
 namespace {
 
-/// Applies one intent to the plan. Returns an error for an intent that makes no sense.
+/// Applies one intent to the plan. Returns an error for an invalid intent.
 class IntentApplier {
  public:
   IntentApplier(Plan& plan, const PlannerFacts& facts) : m_plan(plan), m_facts(facts) {}
--- a/src/configuration/planner.h
+++ b/src/configuration/planner.h
@@ -13,19 +13,19 @@
 
 namespace jaymast {
 
-/// What the planner knows of the cluster besides the configuration.
+/// State of the cluster that a plan depends on besides the configuration.
 struct PlannerFacts {
   InstanceList instances;
   std::map<TeamId, std::int64_t> running;                 ///< running tasks per team, as far as this entry knows
   std::map<UpstreamId, std::vector<std::string>> placed;  ///< ids of the tasks that run on an upstream
 };
 
-/// Works out what a list of intents changes. Changes nothing itself.
-/// @return the plan without its id, or the first intent that makes no sense, with its path
+/// Computes the changes that a list of intents makes, without side effects.
+/// @return the plan without its id, or the error of the first invalid intent, with its path
 Result<Plan> MakePlan(const ClusterConfig& config, const std::vector<Intent>& intents, const PlannerFacts& facts);
 
-/// Checks whether any listed upstream could ever hold a demand.
-/// @return nothing, or kDemandImpossible with the binding constraint
+/// Checks whether a demand fits on any listed upstream when it is empty.
+/// @return no value, or kDemandImpossible with the resource of which no upstream has enough
 std::optional<Error> CheckDemand(const Resources& demand, const DomainId& domain, const InstanceList& instances);
 
 }  // namespace jaymast
--- a/src/limits/allotments.cc
+++ b/src/limits/allotments.cc
@@ -17,14 +17,14 @@
 
 constexpr Duration kTransferRetryInterval = std::chrono::seconds(1);
 
-/// A raise at most doubles the use and adds this many, so that repeated refusals of one task do not take the whole
-/// limit.
+/// Refused starts raise an allotment by at most the current usage plus this number, so that repeated refusals of one
+/// task do not claim the whole limit.
 constexpr std::int64_t kRaiseStep = 8;
 
-/// One row is read again after this many intervals without a need for more.
+/// Number of prewarm intervals without a raise after which a row is read again.
 constexpr std::uint64_t kRefreshTicks = 5;
 
-/// Time until an update that met a conflict is tried again. Without it, holders of one row would conflict repeatedly.
+/// Base delay before a conflicting update is retried. Without it, holders of one row would conflict repeatedly.
 constexpr Duration kConflictBackoff = std::chrono::milliseconds(10);
 
 constexpr Duration kPrewarmInterval = std::chrono::milliseconds(200);
@@ -63,8 +63,8 @@
   const std::int64_t sum = Sum(state->second.holders);
   const std::int64_t limit = Limit(team);
   if (sum <= limit) return own;
-  // The limit was lowered. Every holder cuts its part by the same ratio, so that the parts together keep the new limit
-  // before the row has been rewritten.
+  // The limit was lowered. Every holder scales its allotment by the same ratio, so that their sum respects the new
+  // limit before the row is rewritten.
   return own * limit / sum;
 }
 
@@ -134,7 +134,7 @@
   if (retained == m_retained_usage.end()) return;
   ReadRequest request;
   for (const auto& [team, count] : retained->second.counts) request.keys.push_back(RowKey(team));
-  // The rows are read before the count is dropped, so that the allotment which has moved away is known to be gone.
+  // Read the rows before dropping the count, so that the transferred allotment is no longer used here.
   const std::uint64_t sequence = retained->second.sequence;
   m_table.Read(request, [this, upstream, sequence](const ReadReply& reply) {
     if (!reply.available) {
@@ -168,7 +168,7 @@
 
 std::int64_t Allotments::BaseAmount(const TeamId& team) const {
   const auto entries = static_cast<std::int64_t>(m_membership.peers().size()) + 1;
-  // An even split, with one part left in the pool for bursts. A cut-off entry has to get by with its part.
+  // An even split that leaves one share in the pool for bursts. An isolated entry has only its share.
   return Limit(team) / (entries + 1);
 }
 
@@ -182,7 +182,7 @@
   const std::int64_t free = Limit(team) - sum;
   const std::int64_t own = holders[m_context.self];
   if (free < 0) {
-    // Writes the cut that Allowed() already applies.
+    // Write the reduction that Allowed() already applies.
     holders[m_context.self] = std::max(state.used, own * Limit(team) / sum);
     return holders[m_context.self] != own;
   }
@@ -203,7 +203,7 @@
   ReadRequest request;
   request.keys.push_back(RowKey(team));
   m_table.Read(request, [this, team, change = std::move(change)](const ReadReply& reply) {
-    // A row that cannot be read may hold the whole limit, so nothing is taken from it.
+    // An unreadable row may allot the whole limit, so nothing is taken from it.
     if (!reply.available || !OnRow(team, reply.rows)) {
       m_teams[team].adjusting = false;
       m_teams[team].wanted = 0;
@@ -228,8 +228,8 @@
   Holders holders = state.holders;
   if (!change(holders)) {
     state.adjusting = false;
-    // Only what the own allotment does not cover. Asking for more repeats for ever, because each answer raises `wanted`
-    // again, and all holders then write the same row at once.
+    // Request only what the own allotment lacks. Requesting more would repeat forever, because each request raises
+    // `wanted` again, and all holders would write the same row at once.
     const std::int64_t missing = state.used + UsefulIncrease(state) - Allowed(team);
     state.wanted = 0;
     if (missing > 0) RequestFromHolders(team, missing);
@@ -267,7 +267,7 @@
     const bool can_request = held > 0 && entry != m_context.self && m_membership.HasRecentHeartbeat(entry);
     if (can_request) m_context.effects.SendPeer(entry, AllotmentRequest{team, amount});
   }
-  // Asks for what the holders have returned by then.
+  // By then the holders may have returned some allotment to the pool.
   m_context.After(kRequestInterval, [this, team, amount] {
     m_teams[team].wanted = std::max(m_teams[team].wanted, amount);
     Adjust(team);
@@ -282,7 +282,7 @@
     const std::int64_t idle = own - m_teams[team].used;
     const std::int64_t given = std::min(amount, (idle + 1) / 2);
     if (given <= 0) return false;
-    // The reduction counts from now on, before it is committed, so that no start uses what is being given away.
+    // Apply the reduction before it is committed, so that no start uses what is being returned.
     m_teams[team].holders[m_context.self] = own - given;
     holders[m_context.self] = own - given;
     return true;
@@ -317,7 +317,7 @@
     const std::int64_t wanted = std::max(base, Used(m_prewarmed) + base / 2);
     const bool needs_base = Allowed(m_prewarmed) < wanted && m_membership.IsLeaseValid();
     if (needs_base) Adjust(m_prewarmed);
-    // Shows holders that have left since the row was last read.
+    // Detects holders that have left since the row was last read.
     if (!needs_base && ++m_prewarm_ticks % kRefreshTicks == 0) Refresh({m_prewarmed});
   }
   m_context.After(kPrewarmInterval, [this] { Prewarm(); });
--- a/src/limits/allotments.h
+++ b/src/limits/allotments.h
@@ -18,59 +18,63 @@
 class Membership;
 class TableClient;
 
-/// This entry's part of the upper limit of each team. A started task takes one from it until the task has surely ended.
+/// Divides the limit of each team, the number of its running tasks, between the entries.
+///
+/// An allotment is this entry's share of a limit. Each started task uses one unit of it until the task has certainly
+/// ended.
 class Allotments {
  public:
   struct Hooks {
-    std::function<void()> on_raised;           ///< an allotment of this entry may have been raised
+    std::function<void()> on_raised;           ///< an allotment of this entry may have grown
     std::function<std::int64_t()> free_slots;  ///< slots that this entry could fill
   };
 
   Allotments(Context& context, TableClient& table, const ConfigStore& config, const Membership& membership,
              Hooks hooks);
 
-  /// Starts the periodic work: a base allotment for each team, and cleaning up after dead entries.
+  /// Starts the periodic updates: a base allotment for each team, and a refresh of the rows.
   void Start();
 
-  /// Takes one for a task that starts. When none is left, more is requested.
+  /// Uses one unit for a task that starts.
+  /// @return false when the allotment is used up; more is then requested
   bool TryAcquire(const TeamId& team);
 
-  /// A task that took one has surely ended, or was never started.
+  /// Returns the unit of a task that has certainly ended or was never started.
   void Release(const TeamId& team);
 
-  /// Counts tasks that already run on an upstream which this entry took over.
+  /// Counts tasks that already run on an upstream which this entry acquired.
   void CountInherited(const TeamId& team, std::int64_t count);
 
-  /// Prepares moving the allotment for inherited tasks from another holder.
+  /// Prepares the transfer of the allotment for inherited tasks from another holder.
   /// @param done gets the row conditions and writes; does not run when the store cannot be read
   void PrepareTransfer(const std::map<TeamId, std::int64_t>& counts, const EntryId& from,
                        std::function<void(std::vector<Condition>, std::vector<Write>)> done);
 
-  /// Reads the rows of some teams again.
+  /// Reads the rows of the teams again.
   void Refresh(const std::vector<TeamId>& teams);
 
-  /// Tasks run on an upstream that this entry lost. They stay counted until OnTransferred(), so that the allotment
-  /// which moves with them is not used here as well.
+  /// Keeps counting tasks that run on an upstream which this entry no longer owns until OnTransferred(), so that the
+  /// allotment which moves with them is not used twice.
   void RetainUsage(const UpstreamId& upstream, const std::map<TeamId, std::int64_t>& counts);
 
-  /// The new owner's allotments cover the tasks of a lost upstream.
+  /// Stops counting the tasks of a former upstream: its new owner holds their allotments.
   void OnTransferred(const UpstreamId& upstream);
 
-  /// Drops the count of the tasks of a lost upstream at once: it was acquired again, or it is gone for good.
+  /// Stops counting the tasks of a former upstream at once: it was acquired again or removed.
   void DropRetainedUsage(const UpstreamId& upstream);
 
-  /// Another entry asks for unused allotment.
+  /// Returns part of the unused allotment to the pool on request of another entry.
   void OnRequest(const TeamId& team, std::int64_t amount);
 
-  /// Holders of the own failure domain that have no lease record as far as this entry knows.
+  /// Holders of the own failure domain that have no lease record, as far as this entry knows.
   std::set<EntryId> HoldersWithoutLease() const;
 
-  /// An entry is gone and can start nothing any more: its remaining allotments return to the pool.
+  /// Returns the allotments of an entry that can no longer start tasks to the pool.
   void ReclaimFrom(const EntryId& gone);
 
   std::int64_t Used(const TeamId& team) const;
 
-  /// How many tasks of the team this entry may run now.
+  /// Number of tasks of the team that this entry may run now.
   std::int64_t Allowed(const TeamId& team) const;
 
  private:
@@ -78,17 +82,17 @@
     std::map<EntryId, std::int64_t> holders;  ///< last known value of the row
     std::int64_t row_version = 0;
     std::int64_t used = 0;
-    std::int64_t wanted = 0;  ///< starts refused for want of allotment since the last adjustment
+    std::int64_t wanted = 0;  ///< starts refused since the last adjustment because the allotment was used up
     bool adjusting = false;
-    Time next_request;  ///< earliest time to ask another holder again
+    Time next_request;  ///< earliest time of the next request to other holders
   };
-  /// Tasks counted here that run on an upstream which this entry lost.
+  /// Tasks that are still counted here and run on an upstream which this entry no longer owns.
   struct RetainedUsage {
-    std::uint64_t sequence = 0;  ///< tells a later loss of the same upstream apart
+    std::uint64_t sequence = 0;  ///< distinguishes a later loss of the same upstream
     std::map<TeamId, std::int64_t> counts;
   };
   using Holders = std::map<EntryId, std::int64_t>;
-  /// Changes the holders; returns whether there is something to write.
+  /// Changes the holders. Returns false when there is nothing to write.
   using Change = std::function<bool(Holders& holders)>;
 
   void Adjust(const TeamId& team);
--- a/src/membership/entry_record.h
+++ b/src/membership/entry_record.h
@@ -25,10 +25,10 @@
 /// Key of the lease record of an entry.
 std::string EntryKey(const EntryId& id);
 
-/// Key of the row that exists as long as an entry is the home of its tasks. Every write to the journal depends on it.
+/// Key of the row that exists while an entry is the home of its tasks. Every write to the journal requires it.
 std::string HomeKey(const EntryId& id);
 
-/// Key of the row that names the entry which took over the tasks of another one. Empty while nobody did.
+/// Key of the row that names the entry which took over the tasks of entry `id`.
 std::string AdoptKey(const EntryId& id);
 
 std::string Encode(const EntryRecord& record);
--- a/src/membership/entry_record_test.cc
+++ b/src/membership/entry_record_test.cc
@@ -7,8 +7,8 @@
 namespace jaymast {
 namespace {
 
-// Guards against a row that crashes its reader, or is read as a value which cannot be written back.
-TEST(EntryRecordTest, MutatedRowsAreRefusedOrStable) {
+// Guards against malformed rows that crash the decoder or decode to a value that encodes differently.
+TEST(EntryRecordTest, MutatedRowsAreRejectedOrRoundTrip) {
   const std::string sample = Encode({DomainId("north"), "127.0.0.1:1", EntryState::kServing, 3, 4});
   CheckMutatedJson({sample}, DecodeEntryRecord, [](const EntryRecord& record) { return Encode(record); });
 }
--- a/src/membership/lifecycle.h
+++ b/src/membership/lifecycle.h
@@ -9,12 +9,12 @@
 
 namespace jaymast {
 
-/// State of one entry.
+/// Lifecycle state of an entry.
 enum class EntryState {
-  kJoining,     ///< reads the table, starts nothing
+  kJoining,     ///< reads the table and starts no tasks
   kRecovering,  ///< fences its upstreams and reads their reports
   kServing,
-  kIsolated,  ///< the store is unreachable past the lease; the runners' fences guard capacity
+  kIsolated,  ///< the store was unreachable until the lease expired; only the runners' fences protect capacity
   kDraining,
   kStopped,
 };
@@ -37,7 +37,7 @@
   Lifecycle(const Lifecycle&) = delete;
   Lifecycle& operator=(const Lifecycle&) = delete;
 
-  /// Handles an event. An event that the current state does not know is ignored.
+  /// Handles an event. An event without a transition from the current state is ignored.
   void Handle(LifecycleEvent event);
 
   EntryState state() const;
--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -10,11 +10,11 @@
 namespace jaymast {
 namespace {
 
-/// How long after a failed renewal the store counts as unreachable. A holder that was paused for longer must try again
-/// before it starts work.
+/// How long after a failed renewal the store counts as unreachable. An entry that was paused for longer must try to
+/// renew again before it starts tasks.
 constexpr Duration kStoreUnavailableWindow = std::chrono::seconds(3);
 
-/// Delay for each better-ranked candidate, so that usually one entry expires a peer.
+/// Delay for each better-ranked candidate, so that usually only one entry tries to expire a peer.
 constexpr Duration kExpiryStagger = std::chrono::milliseconds(500);
 
 /// Extra delay of entries in other failure domains, which cannot take over the upstreams.
@@ -52,7 +52,7 @@
 }
 
 void Membership::ScheduleRenewal() {
-  // A renewal out of turn replaces the timer, so that there is always one.
+  // An early renewal replaces the timer, so that exactly one is active.
   m_context.After(m_context.settings.renew_interval, [this, timer = ++m_renewal_timer] {
     if (timer == m_renewal_timer) Renew();
   });
@@ -72,7 +72,7 @@
   record.state = state();
   record.config_version = m_config_version;
   record.renewals = ++m_renewals;
-  // The lease counts from before the renewal is sent, so it never outlasts the wait of an entry that takes over.
+  // The lease counts from the time of sending, so it ends before another entry may expire the record.
   const Time sent_at = m_context.Now();
   const std::string key = EntryKey(m_context.self);
   std::vector<Write> writes = {{key, Encode(record)}};
@@ -179,14 +179,14 @@
 }
 
 void Membership::Expire(const EntryId& id, std::int64_t version) {
-  // Only an entry that is itself a member may adopt the tasks.
+  // Only a member may adopt the tasks.
   m_table.Commit({{EntryKey(id), version}, MembershipCondition()},
                  {{EntryKey(id), std::nullopt}, {HomeKey(id), std::nullopt}, {AdoptKey(id), m_context.self.value()}},
                  [this, id](CommitOutcome outcome, std::int64_t /*version*/) {
                    const auto peer = m_peers.find(id);
                    if (peer != m_peers.end()) {
                      peer->second.is_expiring = false;
-                     // The record was renewed; the next read tells how long it has to stay unchanged again.
+                     // If the record was renewed, the next read sets the time anew.
                      peer->second.expires_at = m_context.Now() + m_context.settings.lease_duration;
                    }
                    if (outcome != CommitOutcome::kCommitted) return;
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -18,24 +18,24 @@
 
 class TableClient;
 
-/// What this entry knows of another entry.
+/// Another entry, as last read from its lease record and its heartbeats.
 struct Peer {
   EntryRecord record;
   std::int64_t version = 0;
-  Time expires_at;             ///< earliest time at which the record may be expired, if it stays unchanged
-  bool is_expiring = false;    ///< a transaction that expires the record is open
-  Time heartbeat_valid_until;  ///< end of the time for which the last heartbeat counts
+  Time expires_at;             ///< earliest time to expire the record if it stays unchanged
+  bool is_expiring = false;    ///< a transaction that expires the record is pending
+  Time heartbeat_valid_until;  ///< when the last heartbeat stops counting
   Summary summary;
 };
 
-/// The entry that rendezvous hashing prefers for a key, or an empty id when there is no candidate.
+/// The candidate with the highest rendezvous hash for a key, or an empty id when there is no candidate.
 EntryId PreferredEntry(const std::string& key, const std::vector<EntryId>& candidates);
 
-/// The lease of this entry and the records of the others.
+/// Renews the lease of this entry and tracks, and expires, the lease records of the others.
 class Membership {
  public:
   struct Hooks {
-    std::function<void()> on_lease_lost;    ///< the record is gone: start over with a new id
+    std::function<void()> on_lease_lost;    ///< the lease record was deleted: restart with a new id
     std::function<void()> on_peer_expired;  ///< this entry expired a peer and adopts its tasks
     std::function<void(EntryState)> on_state;
   };
@@ -47,28 +47,29 @@
   /// Renews the lease record at once, for example to acknowledge a configuration.
   void Renew();
 
-  /// Takes in the rows of a read of all records whose key begins with `prefix`.
-  /// @return whether a peer came or went
+  /// Applies all lease records whose key begins with `prefix`.
+  /// @return whether a peer was added, removed or changed its state
   bool OnRows(const std::string& prefix, const std::vector<Row>& rows);
 
-  /// The records could not be read. Peers could not renew them either, so their time counts anew from the next read.
+  /// Notes that the records could not be read. Peers could not renew them either, so the next read restarts their
+  /// expiry times.
   void OnReadFailed() { m_read_failed = true; }
 
   void OnSummary(const EntryId& from, const Summary& summary);
 
-  /// Expires the peers whose record has stayed unchanged for long enough.
+  /// Expires the peers whose record has stayed unchanged past its lease.
   void ExpirePeers();
 
-  /// Sets the configuration version that the next renewals acknowledge.
+  /// Sets the configuration version that further renewals acknowledge.
   void AcknowledgeConfig(std::int64_t version) { m_config_version = version; }
 
   void Handle(LifecycleEvent event) { m_lifecycle.Handle(event); }
 
-  /// Deletes the lease record and names a successor for the tasks whose home is this entry. `done` runs once that is
-  /// committed or the store cannot be reached.
+  /// Deletes the lease record and names a successor for the tasks whose home is this entry.
+  /// @param done runs once, also when the transaction did not commit
   void Leave(std::function<void()> done);
 
-  /// Holds as long as this entry is a member: no other entry has taken over its tasks.
+  /// Condition that holds while this entry is a member, that is, no other entry has taken over its tasks.
   Condition MembershipCondition() const;
 
   EntryState state() const { return m_lifecycle.state(); }
@@ -76,18 +77,18 @@
   bool IsLeaseValid() const;
   bool IsLeaving() const { return m_leaving; }
 
-  /// Whether this entry may start work now: its lease is valid, or the store is known to be unreachable.
+  /// Whether this entry may start tasks now: its lease is valid, or the store is known to be unreachable.
   bool MayStart() const;
 
   const std::map<EntryId, Peer>& peers() const { return m_peers; }
 
-  /// Whether an entry has a lease record, as far as known.
+  /// Whether an entry has a lease record, as far as this entry knows.
   bool HasLeaseRecord(const EntryId& id) const;
 
-  /// Whether a peer's heartbeats arrive.
+  /// Whether a heartbeat of the peer arrived within the setting `peer_silence`; true for this entry.
   bool HasRecentHeartbeat(const EntryId& id) const;
 
-  /// This entry and the peers of its failure domain that can own upstreams.
+  /// Entries of the own failure domain that can own upstreams, with this one.
   std::vector<EntryId> OwnerCandidates() const;
 
  private:
@@ -110,8 +111,8 @@
   std::int64_t m_renewals = 0;
   std::int64_t m_config_version = 0;
   Time m_lease_deadline;
-  Time m_store_unavailable_until;     ///< until then a failed renewal proves that the store is unreachable
-  std::uint64_t m_renewal_timer = 0;  ///< number of the timer that may start the next renewal
+  Time m_store_unavailable_until;     ///< until then the last failed renewal proves that the store is unreachable
+  std::uint64_t m_renewal_timer = 0;  ///< number of the only timer that may start a renewal
   bool m_read_failed = false;
   bool m_renewing = false;
   bool m_renew_again = false;
--- a/src/ownership/owner_record.h
+++ b/src/ownership/owner_record.h
@@ -13,9 +13,9 @@
 struct OwnerRecord {
   EntryId owner;
   std::int64_t epoch = 0;
-  std::int64_t fenced_epoch = 0;  ///< highest epoch at which an owner has fenced the runner and counted its tasks
-  EntryId covered_by;             ///< entry whose allotments cover the tasks that run there
-  std::int64_t reset_epoch = 0;   ///< the runner may have forgotten tasks that were claimed at a lower epoch
+  std::int64_t fenced_epoch = 0;  ///< highest epoch at which an owner fenced the runner and counted its tasks
+  EntryId covered_by;             ///< entry that holds the allotments of the tasks that run there
+  std::int64_t reset_epoch = 0;   ///< the runner may have forgotten tasks claimed at a lower epoch
 
   bool IsFenced() const { return fenced_epoch == epoch; }
 
--- a/src/ownership/ownership.cc
+++ b/src/ownership/ownership.cc
@@ -12,10 +12,10 @@
 
 constexpr Duration kRetryInterval = std::chrono::milliseconds(500);
 
-/// How long a better-ranked entry must stay before it is given an upstream, so that a short restart moves nothing.
+/// How long a better-ranked entry must stay a candidate before a handover, so that a short restart moves nothing.
 constexpr Duration kHandoverDelay = std::chrono::seconds(2);
 
-/// How long an upstream that left the lagging list is still kept.
+/// How long an upstream that left the list is kept, because the list lags.
 constexpr Duration kUnlistedRetention = std::chrono::seconds(30);
 
 }  // namespace
@@ -70,7 +70,7 @@
 bool Ownership::IsOwnerGone(const Upstream& upstream) const {
   const EntryId& owner = upstream.row.owner;
   if (owner.empty() || !m_membership.HasLeaseRecord(owner)) return true;
-  // Without the store nobody can expire the record of a dead entry. The runner's fence decides between two takers.
+  // Without the store no record can be expired. If several entries claim the upstream, the runner's fence decides.
   return m_membership.state() == EntryState::kIsolated && !m_membership.HasRecentHeartbeat(owner);
 }
 
@@ -96,7 +96,7 @@
   if (upstream.phase == Phase::kFencing) return Fence(id, upstream);
   if (upstream.phase != Phase::kNone) return;
   if (upstream.row.owner == m_context.self) {
-    // The row was handed to this entry, or names it from before a refusal.
+    // The upstream was handed over to this entry, or the row was written before a refusal.
     if (upstream.reported_epoch >= upstream.row.epoch) return Claim(id, upstream);
     upstream.epoch = upstream.row.epoch;
     upstream.is_committed = true;
@@ -190,8 +190,9 @@
   upstream.phase = Phase::kOwned;
   upstream.reported_epoch = upstream.epoch;
   upstream.handover_at = Time();
-  // The runner remembers its tasks only if the last epoch it accepted is the last one that was recorded. A lower one
-  // means that it restarted; a higher one, that somebody fenced it unrecorded and may have met a restart.
+  // The runner still has all its tasks only if the last epoch it accepted is the last one that was recorded. A lower
+  // epoch means that it restarted. A higher one means that an owner fenced it without a record, possibly after a
+  // restart.
   const bool may_have_forgotten = reply.previous_epoch != upstream.row.fenced_epoch;
   upstream.reset_epoch = may_have_forgotten ? upstream.epoch : upstream.row.reset_epoch;
   EmitChange(EventKind::kOwnerFenced, id, upstream);
@@ -248,7 +249,7 @@
   record.owner = to;
   record.epoch = upstream.epoch + 1;
   const std::string key = OwnerKey(m_context.settings.domain, id);
-  // No request with the old epoch is sent from here on, so the new owner's fence meets a quiet runner.
+  // Requests with the old epoch stop here, so that none is pending at the runner when the new owner fences it.
   DropOwnership(id, upstream);
   upstream.phase = Phase::kHandingOver;
   m_table.Commit({{key, upstream.row_version}}, {{key, Encode(record)}},
@@ -288,7 +289,7 @@
   Upstream& upstream = found->second;
   upstream.reported_epoch = std::max(upstream.reported_epoch, current.epoch);
   if (current.epoch < upstream.epoch) {
-    // The runner restarted and lost its epoch.
+    // The runner restarted and has forgotten its epoch.
     DropOwnership(id, upstream);
     upstream.next_try = Time();
     return Claim(id, upstream);
--- a/src/ownership/ownership.h
+++ b/src/ownership/ownership.h
@@ -19,7 +19,7 @@
 class Membership;
 class TableClient;
 
-/// An upstream that this entry has just fenced.
+/// An upstream that this entry has just fenced and now owns.
 struct AcquiredUpstream {
   UpstreamInfo info;
   std::int64_t epoch = 0;
@@ -28,32 +28,32 @@
   const UpstreamReply* reply = nullptr;  ///< the runner's report, valid during the call only
 };
 
-/// Conditions and writes that move the allotments of an upstream's tasks to this entry.
+/// Conditions and writes of a transaction that moves the allotments of an upstream's tasks to this entry.
 struct AllotmentTransfer {
   std::vector<Condition> conditions;
   std::vector<Write> writes;
 };
 
-/// Decides which upstreams of the failure domain this entry owns, and keeps the epochs.
+/// Claims, fences and hands over upstreams of the own failure domain, and keeps their epochs.
 class Ownership {
  public:
   struct Hooks {
     /// The upstream may be used from now on.
     std::function<void(const AcquiredUpstream&)> on_acquired;
-    /// The upstream belongs to somebody else now.
+    /// This entry no longer owns the upstream.
     std::function<void(const UpstreamId&)> on_ownership_lost;
-    /// The allotments for the tasks on an upstream that was lost are covered by its new owner.
+    /// The new owner of a former upstream holds the allotments for the tasks that run there.
     std::function<void(const UpstreamId&)> on_allotments_transferred;
-    /// Prepares the move of the allotments from `from`. The callback does not run when the store cannot be read.
+    /// Prepares the transfer of the allotments from `from`. The callback does not run when the store cannot be read.
     std::function<void(const UpstreamId&, const EntryId& from, std::function<void(AllotmentTransfer)>)>
         prepare_allotment_transfer;
-    /// The owner row of an acquired upstream was committed, and with it the move of the allotments.
+    /// The owner row of an acquired upstream was committed, and with it the transfer of the allotments.
     std::function<void(const UpstreamId&)> on_committed;
-    /// The leases of all tasks on the upstream have surely lapsed.
+    /// The leases of all tasks on the upstream have expired for certain.
     std::function<void(const UpstreamId&)> on_leases_expired;
-    /// The owner row of a handed over upstream was committed.
+    /// The owner row of an upstream that was handed over is committed.
     std::function<void()> on_handed_over;
-    /// The upstream left the list for good.
+    /// The upstream was removed after it left the list.
     std::function<void(const UpstreamId&)> on_removed;
   };
 
@@ -61,17 +61,17 @@
 
   void OnInstances(const InstanceList& list);
 
-  /// Takes in the rows of a read of the prefix of the own failure domain.
+  /// Applies the owner rows of the own failure domain.
   void OnRows(const std::vector<Row>& rows);
 
-  /// Claims, fences and hands over what is due.
+  /// Starts all claims, fences and handovers that are due.
   void Reconcile();
 
-  /// A runner refused a request of this entry: another owner has fenced it, or it restarted.
+  /// Handles a runner's refusal: another owner has fenced it, or it restarted.
   void OnRefused(const UpstreamId& id, const OwnerToken& current);
 
-  /// The runner has not answered for longer than a task lease. Raises the epoch in the table, which proves that nobody
-  /// else renewed the leases meanwhile, and then reports the lapse.
+  /// Expires the task leases of a runner that has not replied for longer than a lease. A committed higher epoch proves
+  /// that no other owner has renewed them; then `on_leases_expired` is called.
   void ExpireTaskLeases(const UpstreamId& id);
 
   /// Hands all upstreams over for a planned stop.
@@ -82,17 +82,17 @@
   /// Upstreams handed over to other entries so far.
   std::int64_t handovers() const { return m_handovers; }
 
-  /// Whether every row that names this entry has been fenced, so that its capacity is known.
+  /// Whether this entry has fenced every listed upstream whose row names it, so that its capacity is known.
   bool HasFencedOwnUpstreams() const;
 
-  /// Whether releases are still being committed.
+  /// Whether handovers are still being committed.
   bool IsHandingOver() const { return m_pending_handovers > 0; }
 
-  /// Whether every listed upstream is owned by an entry with a lease record which has fenced it and counted its tasks.
-  /// An entry without a record can then start nothing in this failure domain.
+  /// Whether every known upstream is fenced by an owner with a lease record, which has counted its tasks. An entry
+  /// without a record can then start nothing in this failure domain.
   bool IsEveryUpstreamFenced() const;
 
-  /// Owner according to the table, for upstreams of the own failure domain.
+  /// The owner of an upstream of the own failure domain, as far as this entry knows.
   std::optional<EntryId> FindOwner(const UpstreamId& id) const;
 
  private:
@@ -101,7 +101,7 @@
   struct Upstream {
     UpstreamInfo info;
     bool is_listed = false;
-    Time remove_at;  ///< when an upstream that left the list is forgotten
+    Time remove_at;  ///< when an upstream that left the list is removed
     OwnerRecord row;
     std::int64_t row_version = 0;
     Phase phase = Phase::kNone;
@@ -109,12 +109,12 @@
     std::int64_t reset_epoch = 0;
     std::int64_t reported_epoch = 0;  ///< highest epoch that the runner reported
     bool is_committed = false;        ///< the row names this entry at `epoch`
-    bool is_write_pending = false;    ///< a write of the fenced row is open
-    bool is_expiring_leases = false;  ///< the claim in flight proves a lapse
-    bool is_fence_pending = false;    ///< a fence call is open
+    bool is_write_pending = false;    ///< a write of the fenced row is pending
+    bool is_expiring_leases = false;  ///< the pending claim expires the task leases
+    bool is_fence_pending = false;    ///< a fence call is pending
     Time next_try;                    ///< earliest time of the next claim or fence
     Time next_write;                  ///< earliest time to record the fence again
-    Time handover_at;                 ///< when a better-ranked owner is given the upstream; zero when there is none
+    Time handover_at;                 ///< when to hand over to a better-ranked owner; zero when there is none
   };
 
   void ReconcileUnowned(const UpstreamId& id, Upstream& upstream);
--- a/src/routing/preview_gateway.cc
+++ b/src/routing/preview_gateway.cc
@@ -13,8 +13,7 @@
 namespace {
 
 constexpr Duration kFirstBackoff = std::chrono::milliseconds(5);
-/// A second attempt is sent to another owner after this part of the time that is left, and at the latest after the
-/// bound.
+/// A hedged attempt is sent to another owner after the remaining time divided by this, but at most after kMaxHedgeWait.
 constexpr std::int64_t kHedgeDivisor = 4;
 constexpr Duration kMaxHedgeWait = std::chrono::milliseconds(400);
 constexpr Duration kMaxBackoff = std::chrono::milliseconds(100);
@@ -90,7 +89,7 @@
 void PreviewGateway::Hedge(std::uint64_t call, std::int64_t attempt) {
   const auto found = m_open.find(call);
   if (found == m_open.end() || !found->second.open_attempts.contains(attempt)) return;
-  // The owner may be dead or paused. Previews are idempotent, so a second attempt does no harm.
+  // The owner may have crashed or paused. Previews are idempotent, so a second attempt is safe.
   if (m_budget.TryRetry(m_context.Now())) Attempt(call);
 }
 
@@ -99,9 +98,9 @@
   const Time now = m_context.Now();
   const auto doublings = std::min<std::int64_t>(preview.attempt, 5);
   const Duration backoff = m_context.Jittered(std::min(kFirstBackoff * (1 << doublings), kMaxBackoff));
-  if (now + backoff >= preview.deadline) return;  // The deadline timer answers.
+  if (now + backoff >= preview.deadline) return;  // The deadline timer responds.
   if (!m_budget.TryRetry(now)) {
-    // Another attempt may still bring the answer.
+    // Another attempt may still succeed.
     if (preview.open_attempts.empty()) Fail(call, kStatusUnavailable, preview.last_error);
     return;
   }
--- a/src/routing/preview_gateway.h
+++ b/src/routing/preview_gateway.h
@@ -19,7 +19,7 @@
 class Executor;
 class Router;
 
-/// Serves previews for callers: chooses an owner, retries within the deadline and the budget, and answers once.
+/// Runs previews for callers: chooses an owner, retries within the deadline and the retry budget, and responds once.
 class PreviewGateway {
  public:
   PreviewGateway(Context& context, const ConfigStore& config, Router& router, Executor& executor);
@@ -27,12 +27,12 @@
   /// Runs an authenticated preview whose team and id are set.
   void Submit(RequestId request, TaskSpec spec, Time deadline);
 
-  /// Takes in the answer of another entry. An answer to an earlier attempt is dropped.
+  /// Handles the reply of an owner. A reply to an attempt that is no longer open is dropped.
   void OnRunReply(const RunReply& reply);
 
   void OnRequestGone(RequestId request);
 
-  /// Answers all open previews: this entry starts over with a new id.
+  /// Responds to all open previews with an error, because this entry restarts with a new id.
   void AbandonAll();
 
   std::size_t open() const { return m_open.size(); }
@@ -43,8 +43,8 @@
     TaskSpec spec;
     Time deadline;
     std::int64_t attempt = 0;
-    bool may_have_run = false;             ///< an attempt ended without certainty
-    std::set<std::int64_t> open_attempts;  ///< attempts that an owner has not answered yet
+    bool may_have_run = false;             ///< an attempt has an unknown outcome
+    std::set<std::int64_t> open_attempts;  ///< attempts without a reply
     std::set<EntryId> tried;
     Error last_error;
   };
--- a/src/routing/retry_budget.h
+++ b/src/routing/retry_budget.h
@@ -7,7 +7,7 @@
 
 namespace jaymast {
 
-/// Limits retries to a part of the requests, so that an overload is not made worse by retries.
+/// Limits retries to a fraction of the requests, so that retries do not amplify an overload.
 class RetryBudget {
  public:
   explicit RetryBudget(Time now) : m_refilled_at(now) {}
@@ -16,7 +16,7 @@
   void OnRequest() { m_tokens = std::min(kMaxTokens, m_tokens + kRetryRatio); }
 
   /// Takes one retry.
-  /// @return false when the budget is used up
+  /// @return false when the budget is exhausted
   bool TryRetry(Time now) {
     const double elapsed_s = std::chrono::duration<double>(now - m_refilled_at).count();
     m_tokens = std::min(kMaxTokens, m_tokens + elapsed_s * kMinRetriesPerSecond);
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -17,25 +17,25 @@
 class Membership;
 struct Summary;
 
-/// Chooses the owner entry that is asked to run or hold a task.
+/// Chooses the owner entry that runs a preview or holds capacity for a durable task.
 class Router {
  public:
   Router(Context& context, const ConfigStore& config, const Membership& membership, const Executor& executor);
 
-  /// Owner for a preview: this entry if it has room, then the own failure domain, then the others.
-  /// @param tried entries that refused already; they are asked again only when there is no other
+  /// Owner for a preview: this entry if it has free capacity, then the own failure domain, then the others.
+  /// @param tried entries that were tried already; they are chosen again only when there is no other
   std::optional<EntryId> ChooseForPreview(const TaskSpec& spec, const std::set<EntryId>& tried);
 
-  /// A task was sent to an owner. Until the owner's next summary its free capacity counts as smaller, so that a burst
-  /// of tasks does not all go to the owner that looked best before it.
+  /// Subtracts the demand of a task sent to an owner from its free capacity until its next summary, so that a burst of
+  /// tasks does not go to a single owner.
   void AddPendingDemand(const EntryId& owner, const Resources& demand) { m_pending_demand[owner] += demand; }
 
-  /// A task that was sent to this entry itself has been placed or refused.
+  /// Undoes AddPendingDemand() for a task that this entry itself, as the owner, has placed or refused.
   void RemovePendingDemand(const EntryId& owner, const Resources& demand);
 
   void OnSummary(const EntryId& owner) { m_pending_demand.erase(owner); }
 
-  /// Owner for durable work: the less loaded of two entries drawn at random.
+  /// Owner for a durable task: the one with more free slots of two random entries.
   std::optional<EntryId> ChooseForDurable(const TaskSpec& spec, const std::set<EntryId>& tried);
 
  private:
@@ -43,7 +43,7 @@
                                   bool own_domain_only) const;
   bool IsUsable(const TaskSpec& spec, const EntryId& id, const Summary& summary, bool must_fit) const;
   std::int64_t FreeSlots(const EntryId& id) const;
-  /// A usable entry whether or not the task fits there now; a tried one only when there is no other.
+  /// A usable entry, whether or not the task fits there now. A tried one only when there is no other.
   std::optional<EntryId> ChooseAny(const TaskSpec& spec, const std::set<EntryId>& tried);
   std::optional<EntryId> BetterOfTwo(const std::vector<EntryId>& candidates);
 
--- a/src/upstream/executor.cc
+++ b/src/upstream/executor.cc
@@ -13,15 +13,15 @@
 
 constexpr std::size_t kMaxWaiting = 10'000;
 
-/// How long a hold request waits for capacity before the home entry may ask another owner.
+/// How long a hold request waits for capacity before it is refused and the home entry can try another owner.
 constexpr Duration kHoldWait = std::chrono::milliseconds(1000);
 
-/// Starts a second for each upstream while a failure domain comes back.
+/// Starts per second and upstream while a failure domain returns to service.
 constexpr std::int64_t kReturnStartsPerUpstream = 4;
 
 constexpr Duration kSweepInterval = std::chrono::milliseconds(50);
 
-/// Summary of the answer to a start request, as a verdict.
+/// Verdict on a task, from the status of its run or start request.
 Verdict VerdictOf(CallStatus status) {
   switch (status) {
     case CallStatus::kOk:
@@ -113,7 +113,7 @@
   const AttemptId id{request.spec.id, request.attempt};
   const Duration remaining = std::chrono::milliseconds(request.remaining_ms);
   WaitingRun run{request, from, now + remaining, std::move(done)};
-  // Only the run needs the body. Half of the time is left for a try at another owner.
+  // The queue does not need the body. Half of the remaining time is left for a retry at another owner.
   std::string body = std::exchange(run.request.spec.body, {});
   const WaitingTask waiting{id, run.request.spec, from, now, now + remaining / 2};
   run.request.spec.body = std::move(body);
@@ -286,7 +286,7 @@
   const auto found = m_tasks.find(id);
   if (found == m_tasks.end()) {
     if (m_former_attempts.contains(id)) return;
-    // The hold expired, or this entry lost the upstream: the attempt was not started and cannot be started any more.
+    // The hold expired, or this entry no longer owns the upstream: the attempt was not and will not be started.
     TaskResult result;
     result.id = id;
     result.outcome = Outcome::kNotStarted;
@@ -297,7 +297,7 @@
   task.home = from;
   const bool may_start = m_membership.MayStart() && !IsOutOfService(m_upstreams.at(task.upstream).info);
   if (!may_start || m_context.Now() >= task.hold_deadline || task.stop_requested) {
-    return End(id, Outcome::kNotStarted, "the hold is not valid any more", 0, false);
+    return End(id, Outcome::kNotStarted, "the hold is no longer valid", 0, false);
   }
   CallStart(id, task, order);
 }
@@ -311,7 +311,7 @@
   request.attempt = id.attempt;
   request.home = task.home;
   request.checkpoint = order.checkpoint;
-  // Leases count from the runner's clock in its last answer, so a delayed request cannot extend them.
+  // Leases count from the runner's clock in its last reply, so that a delayed request cannot extend them.
   request.lease_until_ms = upstream.runner_now_ms + ToMillis(m_context.settings.task_lease);
   task.start_by_ms = request.lease_until_ms;
   EmitStart(EventKind::kStartSent, id, task, "");
@@ -326,7 +326,7 @@
   const Verdict verdict = VerdictOf(reply.status);
   if (found == m_tasks.end() || found->second.phase != OwnedTaskPhase::kStarting) {
     if (found != m_tasks.end() || verdict != Verdict::kNotRun) return;
-    // The upstream was lost meanwhile, but the answer is certain.
+    // This entry no longer owns the upstream, but the runner certainly did not start the attempt.
     TaskResult result;
     result.id = id;
     result.outcome = Outcome::kNotStarted;
@@ -338,7 +338,7 @@
   switch (reply.status) {
     case CallStatus::kOk:
       SetPhase(task, OwnedTaskPhase::kRunning);
-      // Declared run times are far off, so only learned ones count as a bound.
+      // Declared run times are inaccurate, so only learned ones set overrun deadlines.
       if (m_estimator.HasEnoughObservations(task.spec)) {
         task.overrun = OverrunDeadlines::ForRunTime(task.spec, m_estimator.EstimateFor(task.spec), m_context.Now());
       }
@@ -352,7 +352,7 @@
       RecordHealth(upstream, false);
       return m_hooks.on_refused(upstream, reply.current);
     case CallStatus::kNotSent:
-      End(id, Outcome::kNotStarted, "the runner could not be reached", 0, false);
+      End(id, Outcome::kNotStarted, "the runner is unreachable", 0, false);
       return RecordHealth(upstream, false);
   }
 }
@@ -369,7 +369,7 @@
 void Executor::RefuseWaiting(const WaitingTask& waiting) {
   const bool is_limited = m_allotments.Used(waiting.spec.team) >= m_allotments.Allowed(waiting.spec.team);
   const ErrorId error = is_limited ? ErrorId::kLimitReached : ErrorId::kNoCapacity;
-  const std::string reason = is_limited ? "the team's upper limit is in use" : "no free capacity";
+  const std::string reason = is_limited ? "the team has reached its limit" : "no free capacity";
   const auto run = m_waiting_runs.find(waiting.id);
   if (run == m_waiting_runs.end()) {
     HoldReply reply;
--- a/src/upstream/executor.h
+++ b/src/upstream/executor.h
@@ -26,7 +26,7 @@
 class ConfigStore;
 class Membership;
 
-/// Owner role: places, starts and watches tasks on the upstreams that this entry owns.
+/// Places, starts and monitors tasks on the upstreams that this entry owns.
 class Executor {
  public:
   using RunDone = std::function<void(const RunReply&)>;
@@ -34,7 +34,7 @@
   struct Hooks {
     std::function<void(const EntryId&, const PeerMessage&)> send;  ///< to a peer or to this entry
     std::function<void(const UpstreamId&, const OwnerToken&)> on_refused;
-    std::function<void(const UpstreamId&)> on_unreachable;  ///< no answer for longer than a task lease
+    std::function<void(const UpstreamId&)> on_unreachable;  ///< no reply for longer than a task lease
   };
 
   Executor(Context& context, const ConfigStore& config, const Membership& membership, Allotments& allotments,
@@ -61,22 +61,22 @@
 
   void OnInstances(const InstanceList& list);
 
-  /// Takes in a new configuration: teams, policies, failure domains and upstreams out.
+  /// Applies a new configuration: teams, policies, and failure domains and upstreams out of service.
   void OnConfig();
 
-  /// Offers free capacity to the waiting tasks.
+  /// Places waiting tasks on free capacity.
   void Dispatch();
 
-  /// Whether at least one owned upstream may get new tasks.
+  /// Whether at least one owned upstream accepts new tasks.
   bool HasUsableUpstream() const;
 
-  /// Refuses all tasks that wait for capacity, for a planned stop.
+  /// Refuses all tasks that wait for capacity, so that other owners can run them.
   void RefuseAllWaiting();
 
-  /// Previews whose answer is open at a runner.
+  /// Number of run requests that a runner has not replied to.
   std::size_t OpenRuns() const { return m_open_runs; }
 
-  /// Tasks that use capacity now, without held ones.
+  /// Number of tasks that are starting, running or unresolved.
   std::size_t RunningCount() const;
 
   Summary MakeSummary() const;
@@ -149,13 +149,13 @@
   AdmissionQueue m_queue;
   FailureAttribution m_attribution;
   bool m_domain_was_out_of_service = false;  ///< the own failure domain was out of service in the last configuration
-  std::optional<AttemptId> m_reserved;       ///< waiting task for which a start is reserved
+  std::optional<AttemptId> m_reserved;       ///< waiting task that has a reserved start
   TaskSpec m_reserved_spec;
   std::map<UpstreamId, OwnedUpstream> m_upstreams;
   std::map<AttemptId, OwnedTask> m_tasks;
   std::map<AttemptId, WaitingRun> m_waiting_runs;
-  /// Attempts that were started on an upstream which this entry lost, until when they are remembered. A repeated start
-  /// order must not be answered as not started.
+  /// Attempts that were started on an upstream which this entry no longer owns, with the time until which they are
+  /// kept. A repeated start order for one of them must not be reported as not started.
   std::map<AttemptId, Time> m_former_attempts;
   std::size_t m_open_runs = 0;
   bool m_dispatching = false;
--- a/src/upstream/executor_reports.cc
+++ b/src/upstream/executor_reports.cc
@@ -1,4 +1,4 @@
-// Reports of the runners, results of tasks, and changes of ownership.
+// Executor: reports of runners, results of tasks, and changes of ownership.
 #include <algorithm>
 #include <array>
 #include <chrono>
@@ -12,18 +12,18 @@
 namespace jaymast {
 namespace {
 
-/// How often due reports are looked for, and the shortest time between two reports of a runner.
+/// Interval between checks for due reports, and minimum time between two reports of one runner.
 constexpr Duration kReportSweepInterval = std::chrono::milliseconds(50);
 constexpr Duration kMinReportInterval = std::chrono::milliseconds(100);
 
-/// How long after the expected end of a task its runner is asked out of turn. Each report lists all tasks of the
-/// runner.
+/// How long after the expected end of a task its runner is asked for early reports. It is limited because each report
+/// lists all tasks of the runner.
 constexpr Duration kMaxOverdue = std::chrono::milliseconds(300);
 
 constexpr Duration kOverrunSweepInterval = std::chrono::seconds(1);
 constexpr Duration kResendInterval = std::chrono::seconds(1);
 
-/// Longer than any frame can be delayed between entries.
+/// Longer than any delay of a frame between entries.
 constexpr Duration kFormerAttemptRetention = std::chrono::seconds(60);
 
 Outcome OutcomeOf(RunnerTaskState state) {
@@ -120,7 +120,7 @@
     } else if (task.phase == OwnedTaskPhase::kHeld) {
       ReleaseCapacity(task);
     }
-    // The next owner learns results that the runner holds; the others are known to this entry only.
+    // The runner reports the results that it holds to the next owner. Only this entry has the others.
     const bool is_only_copy = task.phase == OwnedTaskPhase::kEnded && !task.is_from_runner;
     if (!is_only_copy) m_tasks.erase(attempt);
   }
@@ -158,7 +158,7 @@
   const std::set<AttemptId> tasks = upstream->second.tasks;
   for (const AttemptId& attempt : tasks) {
     const OwnedTask& task = m_tasks.at(attempt);
-    if (IsLeased(task) && IsActive(task)) End(attempt, Outcome::kLapsed, "the task lease lapsed", 0, false);
+    if (IsLeased(task) && IsActive(task)) End(attempt, Outcome::kLapsed, "the task lease expired", 0, false);
   }
   OnOwnershipLost(id);
 }
@@ -172,8 +172,8 @@
 }
 
 Time Executor::NextRenewal(const OwnedUpstream& upstream) const {
-  // The report is read when the first task is expected to have ended, so that its capacity and its caller do not wait
-  // for the next regular renewal.
+  // The runner is asked when its first task is expected to end, so that neither the capacity nor the caller waits for
+  // the next regular renewal.
   Time next = upstream.next_renewal;
   for (const AttemptId& id : upstream.tasks) {
     const OwnedTask& task = m_tasks.at(id);
@@ -194,8 +194,8 @@
   for (const AttemptId& id : upstream.tasks) {
     const OwnedTask& task = m_tasks.at(id);
     if (!IsLeased(task) || !IsActive(task)) continue;
-    // Until the owner row names this entry, another one may conclude that the leases lapse. Exclusive tasks are then
-    // not renewed, so that they never run in two places.
+    // Until the owner row names this entry, another entry may expire the leases. Exclusive tasks are not renewed in
+    // that time, so that they never run twice at once.
     if (task.spec.semantics == Semantics::kExclusive && !upstream.is_committed) continue;
     request.tasks.push_back(id);
   }
@@ -269,7 +269,7 @@
   OwnedTask& task = found->second;
   if (task.phase == OwnedTaskPhase::kEnded || task.phase == OwnedTaskPhase::kHeld) return;
   if (report.state == RunnerTaskState::kRunning) {
-    // The answer to a preview's run request is still open when it is starting.
+    // A starting preview still has a pending run request, whose reply ends it.
     const bool is_resolved = task.phase == OwnedTaskPhase::kUnresolved && !task.is_preview;
     if (is_resolved) SetPhase(task, OwnedTaskPhase::kRunning);
     if (task.stop_requested && task.phase == OwnedTaskPhase::kRunning) CallStop(report.id, task);
@@ -291,7 +291,7 @@
 }
 
 void Executor::ResolveUnreported(const AttemptId& id, OwnedTask& task, Time sent_at, std::int64_t runner_now_ms) {
-  // A report that was requested before the phase began may have been made before the start took effect.
+  // A report requested before the phase began may predate the effect of the start.
   if (sent_at <= task.phase_since) return;
   if (task.phase == OwnedTaskPhase::kUnresolved && runner_now_ms > task.start_by_ms) {
     if (!task.is_preview) return End(id, Outcome::kNotStarted, "the start did not reach the runner", 0, false);
@@ -299,7 +299,7 @@
     return Erase(id);
   }
   if (task.phase != OwnedTaskPhase::kRunning) return;
-  if (!task.is_preview) return End(id, Outcome::kLapsed, "the runner does not know the task", 0, false);
+  if (!task.is_preview) return End(id, Outcome::kLapsed, "the runner does not report the task", 0, false);
   ReleaseCapacity(task);
   Erase(id);
 }
@@ -357,14 +357,15 @@
   if (found != m_tasks.end()) {
     OwnedTask& task = found->second;
     task.home = from;
-    if (task.phase == OwnedTaskPhase::kHeld) return End(probe.id, Outcome::kNotStarted, "probed while held", 0, false);
+    if (task.phase == OwnedTaskPhase::kHeld)
+      return End(probe.id, Outcome::kNotStarted, "probed before start", 0, false);
     if (task.phase == OwnedTaskPhase::kEnded) return SendResult(task);
     return m_hooks.send(from, TaskRunning{probe.id});
   }
   const auto upstream = m_upstreams.find(probe.upstream);
   if (upstream == m_upstreams.end() || upstream->second.epoch < probe.epoch) return;
-  // The fence has made any start of the attempt impossible, and the runner did not report it. After a restart of the
-  // runner it may have run all the same.
+  // The runner does not report the attempt, and the fence prevents any later start. After a restart of the runner the
+  // attempt may still have run.
   TaskResult result;
   result.id = probe.id;
   result.upstream = probe.upstream;
@@ -378,12 +379,12 @@
   if (found == m_tasks.end()) return;
   OwnedTask& task = found->second;
   if (task.phase == OwnedTaskPhase::kEnded) return;
-  if (task.phase == OwnedTaskPhase::kHeld) return End(order.id, Outcome::kNotStarted, "stopped while held", 0, false);
+  if (task.phase == OwnedTaskPhase::kHeld) return End(order.id, Outcome::kNotStarted, "stopped before start", 0, false);
   RequestStop(order.id, task, order.mode);
 }
 
 void Executor::RequestStop(const AttemptId& id, OwnedTask& task, StopMode mode) {
-  // A resumed task would be a second start.
+  // Resuming from the checkpoint would be a second start.
   if (mode == StopMode::kCheckpoint && task.spec.semantics == Semantics::kAtMostOnce) return;
   task.stop_requested = true;
   task.stop_mode = mode;
@@ -397,7 +398,7 @@
   request.id = id;
   request.mode = task.stop_mode;
   const Time deadline = m_context.Now() + m_context.settings.upstream_call_timeout;
-  // The next report tells whether the task has stopped; until then the stop is requested again.
+  // The next report shows whether the task has stopped. If it has not, the stop is requested again.
   m_context.effects.CallUpstream(task.upstream, upstream.info.address, request, deadline,
                                  [](const UpstreamReply& /*reply*/) {});
 }
@@ -416,7 +417,7 @@
     if (*mode == StopMode::kThrottle) {
       CallStop(id, task);
     } else if (task.spec.semantics != Semantics::kAtMostOnce) {
-      // An at-most-once task could not be started again, so it is only throttled.
+      // An at-most-once task cannot be started again, so it is only throttled.
       RequestStop(id, task, *mode);
     }
   }
--- a/src/upstream/owned_task.h
+++ b/src/upstream/owned_task.h
@@ -11,13 +11,13 @@
 
 namespace jaymast {
 
-/// Phase of an attempt at its owner.
+/// Phase of an attempt, as seen by the owner of its upstream.
 enum class OwnedTaskPhase {
-  kHeld,        ///< capacity is reserved, the start order is awaited
-  kStarting,    ///< the start request is open
-  kUnresolved,  ///< the answer to the start request was lost
+  kHeld,        ///< capacity is reserved until the start order arrives
+  kStarting,    ///< the start request is pending
+  kUnresolved,  ///< the start request has an unknown outcome
   kRunning,
-  kEnded,  ///< the result awaits the acknowledgement of the home entry
+  kEnded,  ///< the home entry has not acknowledged the result
 };
 
 /// An attempt that uses, or used, an upstream of this entry.
@@ -31,11 +31,11 @@
   bool stop_requested = false;
   StopMode stop_mode = StopMode::kStop;
   Time hold_deadline;
-  Time phase_since;              ///< reports requested before this time do not tell about the phase
-  std::int64_t start_by_ms = 0;  ///< after this time on the runner's clock a lost start cannot take effect
-  OverrunDeadlines overrun;      ///< when the task runs longer than expected
+  Time phase_since;              ///< reports requested earlier do not reflect this phase
+  std::int64_t start_by_ms = 0;  ///< on the runner's clock: an unresolved start has no effect after it
+  OverrunDeadlines overrun;      ///< deadlines for a task that runs longer than expected
   OverrunAction overrun_action = OverrunAction::kNone;
-  Time next_send;  ///< when the result is sent again
+  Time next_send;  ///< when to send the result again
   TaskResult result;
 };
 
--- a/src/upstream/owned_upstream.h
+++ b/src/upstream/owned_upstream.h
@@ -21,13 +21,13 @@
   bool is_committed = false;  ///< the owner row names this entry
   bool is_reachable = true;
   bool is_renewing = false;
-  std::int64_t runner_now_ms = 0;  ///< the runner's clock in its last answer
-  Time next_renewal;               ///< when the runner is asked at the latest
-  Time last_reply_at;              ///< when that answer arrived
+  std::int64_t runner_now_ms = 0;  ///< the runner's clock in its last reply
+  Time next_renewal;               ///< latest time of the next renewal
+  Time last_reply_at;              ///< when that reply arrived
   UpstreamHealth health;
   std::set<AttemptId> tasks;
   std::set<AttemptId> acknowledged;          ///< results that the runner may drop
-  std::map<TeamId, std::int64_t> inherited;  ///< running tasks found at the fence, per team
+  std::map<TeamId, std::int64_t> inherited;  ///< tasks that were running at the fence, per team
 };
 
 }  // namespace jaymast
--- a/src/upstream/upstream_health.cc
+++ b/src/upstream/upstream_health.cc
@@ -13,7 +13,7 @@
 using msm::front::none;
 using msm::front::Row;
 
-/// Consecutive failures after which an upstream is ejected. One bad job alone fails at most three attempts.
+/// Consecutive failures after which an upstream is ejected. One faulty job alone fails at most three attempts.
 constexpr int kFailuresToEject = 5;
 constexpr Duration kFirstEjection = std::chrono::seconds(5);
 constexpr Duration kMaxEjection = std::chrono::seconds(60);
@@ -98,7 +98,7 @@
 
   Phase m_phase = Phase::kHealthy;
   int m_failures = 0;
-  Duration m_next_ejection = kFirstEjection;  ///< length of the next ejection
+  Duration m_next_ejection = kFirstEjection;  ///< duration of the next ejection
   Time m_ejected_until;
 };
 
--- a/src/upstream/upstream_health.h
+++ b/src/upstream/upstream_health.h
@@ -7,8 +7,8 @@
 
 namespace jaymast {
 
-/// Passive health of one upstream: ejects it after consecutive failures, lets one task through after a growing pause,
-/// and restores it when that task succeeds.
+/// Circuit breaker of one upstream: ejects it after consecutive failures, admits one task after an ejection time that
+/// doubles up to a maximum, and restores it when that task succeeds.
 class UpstreamHealth {
  public:
   UpstreamHealth();
@@ -19,10 +19,10 @@
   void OnSuccess();
   void OnFailure(Time now);
 
-  /// Moves an ejected upstream to probing once its pause is over.
+  /// Moves an ejected upstream to probing once its ejection time is over.
   void OnTick(Time now);
 
-  /// Whether a new task may be placed, with `running` tasks on the upstream at the moment.
+  /// Whether a new task may be placed while `running` tasks are on the upstream.
   bool MayPlace(std::int64_t running) const;
 
   bool IsEjected() const;
