--- a/src/configuration/config_store.cc
+++ b/src/configuration/config_store.cc
@@ -53,7 +53,7 @@
   if (secret.empty()) return Error{ErrorId::kKeyMissing, "Authorization", "no bearer key"};
   const std::string hash = Sha256Hex(secret);
   std::optional<Principal> found;
-  // All keys are compared, so that the response time does not reveal which one matched.
+  // All keys are compared in constant time, so that the response time reveals nothing about them.
   for (const auto& [id, key] : m_config.keys) {
     if (ConstantTimeEqual(hash, key.sha256)) found = Principal{id, key.team, key.role};
   }
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -88,7 +88,7 @@
   /// Whether a heartbeat of the peer arrived within the setting `peer_silence`; true for this entry.
   bool HasRecentHeartbeat(const EntryId& id) const;
 
-  /// Entries of the own failure domain that can own upstreams, with this one.
+  /// Entries of the own failure domain that can own upstreams, including this one.
   std::vector<EntryId> OwnerCandidates() const;
 
  private:
--- a/src/upstream/executor_reports.cc
+++ b/src/upstream/executor_reports.cc
@@ -357,8 +357,7 @@
   if (found != m_tasks.end()) {
     OwnedTask& task = found->second;
     task.home = from;
-    if (task.phase == OwnedTaskPhase::kHeld)
-      return End(probe.id, Outcome::kNotStarted, "probed before start", 0, false);
+    if (task.phase == OwnedTaskPhase::kHeld) return End(probe.id, Outcome::kNotStarted, "not started yet", 0, false);
     if (task.phase == OwnedTaskPhase::kEnded) return SendResult(task);
     return m_hooks.send(from, TaskRunning{probe.id});
   }
