--- a/src/ownership/ownership.cc
+++ b/src/ownership/ownership.cc
@@ -165,7 +165,7 @@
   if (upstream.is_fence_pending) return;
   upstream.is_fence_pending = true;
   const Time deadline = m_context.Now() + m_context.settings.upstream_call_timeout;
-  const FenceRequest request{OwnerToken{m_context.self, upstream.epoch}};
+  const FenceRequest request{FencingToken{m_context.self, upstream.epoch}};
   m_context.effects.CallUpstream(
       id, upstream.info.address, request, deadline,
       [this, id, epoch = upstream.epoch](const UpstreamReply& reply) { OnFenced(id, epoch, reply); });
@@ -283,7 +283,7 @@
   if (was_owned) m_hooks.on_ownership_lost(id);
 }
 
-void Ownership::OnRefused(const UpstreamId& id, const OwnerToken& current) {
+void Ownership::OnRefused(const UpstreamId& id, const FencingToken& current) {
   const auto found = m_upstreams.find(id);
   if (found == m_upstreams.end() || found->second.phase != Phase::kOwned) return;
   Upstream& upstream = found->second;
--- a/src/ownership/ownership.h
+++ b/src/ownership/ownership.h
@@ -68,7 +68,7 @@
   void Reconcile();
 
   /// Handles a runner's refusal: another owner has fenced it, or it restarted.
-  void OnRefused(const UpstreamId& id, const OwnerToken& current);
+  void OnRefused(const UpstreamId& id, const FencingToken& current);
 
   /// Expires the task leases of a runner that has not replied for longer than a lease. A committed higher epoch proves
   /// that no other owner has renewed them; then `on_leases_expired` is called.
