--- a/src/configuration/plan_service.h
+++ b/src/configuration/plan_service.h
@@ -21,50 +21,52 @@
 class Membership;
 class TaskManager;
 
-/// Prefix of the rows of confirmed plans whose tasks are being submitted.
+/// Prefix of the rows of confirmed plans whose tasks may not have been submitted yet.
 inline constexpr std::string_view kConfirmedPrefix = "confirmed/";
 
-/// Plans and confirmations of operators.
+/// Makes plans from the intents of operators and carries out confirmed plans.
 class PlanService {
  public:
   struct Hooks {
     std::function<PlannerFacts()> facts;
-    std::function<void(const ClusterConfig&)> push;  ///< tells all entries of a new configuration
+    std::function<void(const ClusterConfig&)> push;  ///< sends a new configuration to all entries
   };
 
   PlanService(Context& context, TableClient& table, ConfigStore& config, const Membership& membership,
               TaskManager& tasks, Hooks hooks);
 
-  /// Answers intents with a plan. The plan is kept in the table, so that any entry can confirm it.
+  /// Responds to intents with a plan. The plan is stored in the table, so that any entry can confirm it.
   void Plan(RequestId request, const std::vector<Intent>& intents);
 
-  /// Carries out a plan if the configuration still has the version that the plan was made from.
+  /// Carries out a plan if the configuration still has the version on which the plan is based. Otherwise responds with
+  /// a new plan.
   void Confirm(RequestId request, const PlanId& plan, std::int64_t base_version);
 
-  /// Takes in rows of confirmed plans whose tasks may not have been submitted yet.
+  /// Submits the tasks of confirmed plans that may not have been submitted yet.
   void OnConfirmedRows(const std::vector<Row>& rows);
 
-  /// Takes in the lease records and owner rows of the whole fleet while a change waits for acknowledgements.
-  /// @return entries that may still start work under an older version
+  /// Finds entries that may still start tasks under an older configuration.
+  /// @param rows lease records and owner rows of all entries
+  /// @param version configuration version that the entries have to acknowledge
   std::vector<EntryId> FindEntriesOnOlderConfig(const std::vector<Row>& rows, std::int64_t version) const;
 
-  bool IsIdle() const { return m_open_plans == 0 && m_waiting.empty(); }
+  bool IsIdle() const { return m_open_transactions == 0 && m_pending_confirmations.empty(); }
 
  private:
-  struct WaitingConfirm {
+  struct PendingConfirmation {
     RequestId request = 0;
     std::int64_t version = 0;
-    Time answer_at;
+    Time respond_by;
   };
 
   void StorePlan(RequestId request, const jaymast::Plan& plan, int status, const std::string& note);
   void OnPlanRead(RequestId request, const PlanId& plan, std::int64_t base_version, const ReadReply& reply);
-  void Conflict(RequestId request, const std::vector<Intent>& intents);
+  void ReplaceStalePlan(RequestId request, const std::vector<Intent>& intents);
   void CommitPlan(RequestId request, const PlanId& id, std::int64_t plan_row_version, const jaymast::Plan& plan);
   void OnCommitted(RequestId request, const jaymast::Plan& plan, bool changes_config, std::int64_t version);
   void SubmitRuns(const PlanId& id, const std::vector<Intent>& intents);
   void CheckAcknowledgements();
-  void AnswerConfirm(const WaitingConfirm& waiting, const std::vector<EntryId>& not_in_force);
+  void RespondToConfirmation(const PendingConfirmation& pending, const std::vector<EntryId>& not_in_force);
   void Fail(RequestId request, int status, Error error, Verdict verdict);
 
   Context& m_context;
@@ -73,10 +75,10 @@
   const Membership& m_membership;
   TaskManager& m_tasks;
   Hooks m_hooks;
-  std::map<RequestId, WaitingConfirm> m_waiting;
+  std::map<RequestId, PendingConfirmation> m_pending_confirmations;
   std::set<PlanId> m_submitting;
   std::uint64_t m_next_plan = 1;
-  int m_open_plans = 0;
+  int m_open_transactions = 0;
   bool m_checking = false;
 };
 
