--- a/src/instance/cell_instance.cc
+++ b/src/instance/cell_instance.cc
@@ -10,42 +10,42 @@
 namespace {
 
 /// The leader shows its progress to each follower this often.
-constexpr Duration kBeatPause{150'000};
+constexpr Duration kHeartbeatInterval{150'000};
 /// With many followers beats are rarer, so that their cost for the leader is bounded: 160 a second.
-constexpr Duration kBeatPausePerFollower{6'250};
-constexpr Duration kBeatTime{500'000};
+constexpr Duration kHeartbeatIntervalPerFollower{6'250};
+constexpr Duration kHeartbeatTimeout{500'000};
 /// A longer gap is no pause between beats but a silence.
-constexpr Duration kMaxBeatGap{300'000};
+constexpr Duration kMaxHeartbeatGap{300'000};
 /// A follower that has not heard of its leader for this time announces itself again.
-constexpr Duration kHelloPause{300'000};
+constexpr Duration kAnnouncementInterval{300'000};
 /// A follower that did not answer for this time makes no policy calls.
-constexpr Duration kFollowerSilence{1'200'000};
+constexpr Duration kFollowerTimeout{1'200'000};
 /// An instance that has not heard of a leader for this time sends its clients elsewhere.
-constexpr Duration kReadySilence{800'000};
+constexpr Duration kReadyLeaderTimeout{800'000};
 /// A leader that has written nothing for this time can't accept work; above two transactions of a slow store.
-constexpr Duration kReadyStall{1'200'000};
+constexpr Duration kReadyStoreTimeout{1'200'000};
 /// Calls are passed to a leader that has been heard of within this time, or within some of its beats where these are
 /// rarer. Of a call that is sent into a cut nobody can tell whether it ran.
-constexpr Duration kLeaderSilence{500'000};
-constexpr std::int64_t kBeatsOfSilence = 3;
+constexpr Duration kLeaderTimeout{500'000};
+constexpr std::int64_t kMissedHeartbeats = 3;
 /// A client's call is answered at the latest after this time, unless the client tells how long it waits.
-constexpr std::int64_t kDefaultPatienceMs = 3000;
+constexpr std::int64_t kDefaultClientTimeoutMs = 3000;
 /// The answer must reach the client before it gives up. A call takes about 25 ms, so a short patience is not used up by
 /// the margin.
-constexpr std::int64_t kAnswerMarginMs = 120;
-constexpr std::int64_t kMarginPart = 4;  ///< the margin is at most this part of the patience
+constexpr std::int64_t kResponseMarginMs = 120;
+constexpr std::int64_t kMarginDivisor = 4;  ///< the margin is at most this part of the patience
 /// Calls of an ended term have deadlines below this time.
-constexpr Duration kEndedTermLife{12'000'000};
+constexpr Duration kEndedTermRetention{12'000'000};
 /// Time beyond the expected one that a policy call of another instance may take.
 constexpr std::int64_t kPolicyMarginMs = 600;
 /// An instance below this processor share leads only if no stronger one does: a leader uses 0.2 cores at 350 upstreams.
-constexpr std::int64_t kStrongCpuMillis = 200;
+constexpr std::int64_t kPreferredLeaderCpuMillis = 200;
 /// A leader yields to a follower with this many times its processor share, but not right after a takeover.
-constexpr std::int64_t kStrongerFactor = 2;
-constexpr Duration kYieldAfter{1'500'000};
-constexpr const char* kBeatPath = "/peer/beat";
-constexpr const char* kHelloPath = "/peer/hello";
-constexpr const char* kAdvisePath = "/peer/advise";
+constexpr std::int64_t kYieldCpuFactor = 2;
+constexpr Duration kMinTermBeforeYield{1'500'000};
+constexpr const char* kHeartbeatPath = "/peer/beat";
+constexpr const char* kJoinAnnouncementPath = "/peer/hello";
+constexpr const char* kPolicyCallPath = "/peer/advise";
 constexpr const char* kCallIdHeader = "Jaymast-Call-Id";
 constexpr const char* kUndecidedHeader = "Jaymast-Undecided";
 
@@ -60,9 +60,9 @@
 }  // namespace
 
 /// Routes the leader's policy calls to this instance or to another one.
-class CellInstance::PeerPolicy : public PolicyPort {
+class CellInstance::PolicyRouter : public PolicyPort {
  public:
-  explicit PeerPolicy(CellInstance& instance) : m_instance(instance) {}
+  explicit PolicyRouter(CellInstance& instance) : m_instance(instance) {}
   void Ask(const std::string& agent, const PolicyQuestion& question, std::function<void(PolicyAnswer)> done) override {
     m_instance.Ask(agent, question, std::move(done));
   }
@@ -87,10 +87,10 @@
                                                   {"may_have_run", may_have_run ? "true" : "false"}});
              return m_ports.codec.EncodeFailure(may_have_run);
            }}),
-      m_leadership(m_ports.store, m_address, rank, cpu_millis < kStrongCpuMillis,
+      m_leadership(m_ports.store, m_address, rank, cpu_millis < kPreferredLeaderCpuMillis,
                    [this](const LeaderRecord& record, std::int64_t version) { BeginTerm(record, version); }),
-      m_peer_policy(std::make_unique<PeerPolicy>(*this)),
-      m_leader_lost_at(Time{} + kLeaderSilence) {}
+      m_policy_router(std::make_unique<PolicyRouter>(*this)),
+      m_leader_unreachable_at(Time{} + kLeaderTimeout) {}
 
 CellInstance::~CellInstance() = default;
 
@@ -104,20 +104,21 @@
   }
   if (m_is_deposed) EndTerm("another instance took over");
   if (m_term != nullptr) {
-    if (now >= m_next_beat) SendBeats();
-    YieldToStronger();
+    if (now >= m_next_heartbeat_at) SendHeartbeats();
+    YieldToLargerInstance();
     m_relay.SetLeader(true, "", m_term->journal().epoch(), now);
     // After the term the next leader has as much time to be heard as the last one had.
-    m_leader_lost_at += now - m_leader_heard_at;
-    m_leader_heard_at = now;
+    m_leader_unreachable_at += now - m_last_leader_contact_at;
+    m_last_leader_contact_at = now;
   } else {
     const std::string& leader = m_leadership.leader_address();
     const bool is_known = !leader.empty() && leader != m_address;
-    m_relay.SetLeader(is_known && now < m_leader_lost_at, leader, m_leadership.leader_epoch(), now);
-    if (is_known && now >= m_next_hello && now - m_leader_heard_at > kHelloPause) SendHello();
+    m_relay.SetLeader(is_known && now < m_leader_unreachable_at, leader, m_leadership.leader_epoch(), now);
+    if (is_known && now >= m_next_announcement_at && now - m_last_leader_contact_at > kAnnouncementInterval)
+      SendJoinAnnouncement();
   }
   m_relay.OnTick(now);
-  std::erase_if(m_ended_terms, [now](const auto& entry) { return now - entry.first > kEndedTermLife; });
+  std::erase_if(m_ended_terms, [now](const auto& entry) { return now - entry.first > kEndedTermRetention; });
 }
 
 void CellInstance::BeginTerm(const LeaderRecord& record, std::int64_t version) {
@@ -127,7 +128,7 @@
   m_successor.clear();
   m_followers.clear();
   m_term = std::make_unique<CellTerm>(
-      m_ports.store, Scheduler::Ports{m_ports.upstreams, *m_peer_policy, m_ports.events}, record, version, m_now,
+      m_ports.store, Scheduler::Ports{m_ports.upstreams, *m_policy_router, m_ports.events}, record, version, m_now,
       m_ports.make_feeds, m_ports.request_tick, [this] { m_is_deposed = true; });
   UpdateAgents();
   if (m_is_stopping) m_term->HandOver("");
@@ -145,14 +146,15 @@
   m_leadership.OnDeposed(m_now);
   m_relay.SetLeader(false, "", 0, m_now);
   if (!is_handed_over || m_successor.empty()) return;
-  m_ports.send_peer(m_successor, PeerMessage(kBeatPath, EncodeBeat({})), m_now + kBeatTime, [](const PeerResult&) {});
+  m_ports.send_peer(m_successor, PeerMessage(kHeartbeatPath, EncodeHeartbeat({})), m_now + kHeartbeatTimeout,
+                    [](const PeerResult&) {});
 }
 
 void CellInstance::OnClientRequest(HttpRequest request, std::function<void(HttpResponse)> done) {
-  const std::int64_t told_ms = m_ports.codec.ClientTimeoutMs(request);
-  const std::int64_t patience_ms = told_ms > 0 ? told_ms : kDefaultPatienceMs;
-  const std::int64_t margin_ms = std::min(kAnswerMarginMs, patience_ms / kMarginPart);
-  const Time deadline = m_now + std::chrono::milliseconds(std::max<std::int64_t>(1, patience_ms - margin_ms));
+  const std::int64_t stated_ms = m_ports.codec.ClientTimeoutMs(request);
+  const std::int64_t timeout_ms = stated_ms > 0 ? stated_ms : kDefaultClientTimeoutMs;
+  const std::int64_t margin_ms = std::min(kResponseMarginMs, timeout_ms / kMarginDivisor);
+  const Time deadline = m_now + std::chrono::milliseconds(std::max<std::int64_t>(1, timeout_ms - margin_ms));
   // Unique over instances and restarts, as no two processes with one address start in the same microsecond.
   request.headers.emplace_back(
       kCallIdHeader, m_address + "-" + std::to_string(ToMicros(m_started_at)) + "-" + std::to_string(++m_call_count));
@@ -162,7 +164,7 @@
 void CellInstance::SendToLeader(const std::string& address, const HttpRequest& request, Time deadline,
                                 const std::function<void(Relay::Attempt)>& done) {
   if (address.empty()) {
-    return AnswerClient(request, [done](HttpResponse response, bool is_undecided) {
+    return HandleClientCall(request, [done](HttpResponse response, bool is_undecided) {
       done({true, true, is_undecided, std::move(response)});
     });
   }
@@ -174,8 +176,8 @@
   });
 }
 
-void CellInstance::AnswerClient(const HttpRequest& request,
-                                const std::function<void(HttpResponse, bool is_undecided)>& done) {
+void CellInstance::HandleClientCall(const HttpRequest& request,
+                                    const std::function<void(HttpResponse, bool is_undecided)>& done) {
   if (m_term == nullptr) return done(m_ports.codec.EncodeFailure(false), true);
   ClientCall call = m_ports.codec.Decode(request);
   call.call_id = std::string(FindHeader(request.headers, kCallIdHeader));
@@ -186,32 +188,32 @@
 
 void CellInstance::OnPeerRequest(const HttpRequest& request, const std::function<void(HttpResponse)>& done) {
   if (!FindHeader(request.headers, kCallIdHeader).empty()) {
-    return AnswerClient(request, [done](HttpResponse response, bool is_undecided) {
+    return HandleClientCall(request, [done](HttpResponse response, bool is_undecided) {
       if (is_undecided) response.headers.emplace_back(kUndecidedHeader, "1");
       done(std::move(response));
     });
   }
-  if (request.target == kBeatPath) {
-    const std::optional<Beat> beat = DecodeBeat(request.body);
-    if (beat && beat->record.address.empty()) {
+  if (request.target == kHeartbeatPath) {
+    const std::optional<Heartbeat> heartbeat = DecodeHeartbeat(request.body);
+    if (heartbeat && heartbeat->record.address.empty()) {
       m_leadership.ReadSoon();
       m_ports.request_tick();
-    } else if (beat) {
-      OnBeat(*beat);
+    } else if (heartbeat) {
+      OnHeartbeat(*heartbeat);
     }
     return done({kStatusNoContent, {}, ""});
   }
-  if (request.target == kHelloPath) {
-    const std::optional<Hello> follower = DecodeHello(request.body);
+  if (request.target == kJoinAnnouncementPath) {
+    const std::optional<JoinAnnouncement> follower = DecodeJoinAnnouncement(request.body);
     if (m_term == nullptr || !follower) return done({kStatusConflict, {}, ""});
     Follower& entry = m_followers[follower->address];
     entry.cpu_millis = follower->cpu_millis;
     if (entry.joined_at == Time{}) entry.joined_at = m_now;
-    entry.heard_at = m_now;
+    entry.last_contact_at = m_now;
     UpdateAgents();
-    return done({kStatusOk, {}, EncodeBeat(OwnBeat())});
+    return done({kStatusOk, {}, EncodeHeartbeat(BuildHeartbeat())});
   }
-  if (request.target == kAdvisePath) {
+  if (request.target == kPolicyCallPath) {
     const std::optional<PolicyQuestion> question = DecodeQuestion(request.body);
     if (!question) return done({kStatusBadRequest, {}, ""});
     return m_ports.policy.Ask("", *question, [done](const PolicyAnswer& answer) {
@@ -225,54 +227,57 @@
                        std::function<void(PolicyAnswer)> done) {
   if (agent.empty()) return m_ports.policy.Ask("", question, std::move(done));
   const Time deadline = m_now + std::chrono::milliseconds(question.expected_ms + kPolicyMarginMs);
-  m_ports.send_peer(agent, PeerMessage(kAdvisePath, EncodeQuestion(question)), deadline,
+  m_ports.send_peer(agent, PeerMessage(kPolicyCallPath, EncodeQuestion(question)), deadline,
                     [done = std::move(done)](const PeerResult& result) {
                       const bool is_ok = result.is_answered && result.response.status == kStatusOk;
                       done(is_ok ? DecodeAnswer(result.response.body).value_or(PolicyAnswer{}) : PolicyAnswer{});
                     });
 }
 
-void CellInstance::SendBeats() {
-  m_next_beat = m_now + std::max(kBeatPause, kBeatPausePerFollower * static_cast<std::int64_t>(m_followers.size()));
-  const std::string body = EncodeBeat(OwnBeat());
-  const auto silent = std::erase_if(
-      m_followers, [this](const auto& entry) { return m_now - entry.second.heard_at > kFollowerSilence; });
-  if (silent > 0) UpdateAgents();
+void CellInstance::SendHeartbeats() {
+  m_next_heartbeat_at = m_now + std::max(kHeartbeatInterval,
+                                         kHeartbeatIntervalPerFollower * static_cast<std::int64_t>(m_followers.size()));
+  const std::string body = EncodeHeartbeat(BuildHeartbeat());
+  const auto removed = std::erase_if(
+      m_followers, [this](const auto& entry) { return m_now - entry.second.last_contact_at > kFollowerTimeout; });
+  if (removed > 0) UpdateAgents();
   for (auto& [address, follower] : m_followers) {
-    if (follower.is_beat_open) continue;
-    follower.is_beat_open = true;
-    m_ports.send_peer(address, PeerMessage(kBeatPath, body), m_now + kBeatTime,
+    if (follower.is_heartbeat_pending) continue;
+    follower.is_heartbeat_pending = true;
+    m_ports.send_peer(address, PeerMessage(kHeartbeatPath, body), m_now + kHeartbeatTimeout,
                       [this, address = address](const PeerResult& result) {
                         const auto found = m_followers.find(address);
                         if (found == m_followers.end()) return;
-                        found->second.is_beat_open = false;
-                        if (result.is_answered) found->second.heard_at = m_now;
+                        found->second.is_heartbeat_pending = false;
+                        if (result.is_answered) found->second.last_contact_at = m_now;
                       });
   }
 }
 
-void CellInstance::SendHello() {
-  m_next_hello = m_now + kHelloPause;
-  m_ports.send_peer(m_leadership.leader_address(), PeerMessage(kHelloPath, EncodeHello({m_address, m_cpu_millis})),
-                    m_now + kBeatTime, [this](const PeerResult& result) {
+void CellInstance::SendJoinAnnouncement() {
+  m_next_announcement_at = m_now + kAnnouncementInterval;
+  m_ports.send_peer(m_leadership.leader_address(),
+                    PeerMessage(kJoinAnnouncementPath, EncodeJoinAnnouncement({m_address, m_cpu_millis})),
+                    m_now + kHeartbeatTimeout, [this](const PeerResult& result) {
                       if (!result.was_sent) m_leadership.OnLeaderRefused(m_now);
                       if (!result.is_answered || result.response.status != kStatusOk) return;
-                      if (const std::optional<Beat> beat = DecodeBeat(result.response.body)) OnBeat(*beat);
+                      if (const std::optional<Heartbeat> heartbeat = DecodeHeartbeat(result.response.body))
+                        OnHeartbeat(*heartbeat);
                     });
 }
 
-Beat CellInstance::OwnBeat() const {
+Heartbeat CellInstance::BuildHeartbeat() const {
   return {m_term->journal().committed_record(), m_term->journal().committed_version()};
 }
 
-void CellInstance::OnBeat(const Beat& beat) {
-  if (m_term != nullptr || beat.record.epoch < m_leadership.leader_epoch()) return;
-  const Duration gap = std::min(m_now - m_leader_heard_at, kMaxBeatGap);
-  m_leader_lost_at = m_now + std::max(kLeaderSilence, gap * kBeatsOfSilence);
-  m_leader_heard_at = m_now;
-  if (beat.version != m_leader_version) m_leader_wrote_at = m_now;
-  m_leader_version = beat.version;
-  m_leadership.OnLeaderProgress(beat.record, beat.version, m_now);
+void CellInstance::OnHeartbeat(const Heartbeat& heartbeat) {
+  if (m_term != nullptr || heartbeat.record.epoch < m_leadership.leader_epoch()) return;
+  const Duration gap = std::min(m_now - m_last_leader_contact_at, kMaxHeartbeatGap);
+  m_leader_unreachable_at = m_now + std::max(kLeaderTimeout, gap * kMissedHeartbeats);
+  m_last_leader_contact_at = m_now;
+  if (heartbeat.version != m_leader_version) m_leader_version_changed_at = m_now;
+  m_leader_version = heartbeat.version;
+  m_leadership.OnLeaderProgress(heartbeat.record, heartbeat.version, m_now);
 }
 
 void CellInstance::UpdateAgents() {
@@ -306,10 +311,10 @@
   return best;
 }
 
-void CellInstance::YieldToStronger() {
-  if (!m_successor.empty() || m_is_stopping || m_now - m_term_began_at < kYieldAfter) return;
+void CellInstance::YieldToLargerInstance() {
+  if (!m_successor.empty() || m_is_stopping || m_now - m_term_began_at < kMinTermBeforeYield) return;
   const std::string successor = ChooseSuccessor();
-  if (successor.empty() || m_followers[successor].cpu_millis < kStrongerFactor * m_cpu_millis) return;
+  if (successor.empty() || m_followers[successor].cpu_millis < kYieldCpuFactor * m_cpu_millis) return;
   m_successor = successor;
   m_term->HandOver(successor);
 }
@@ -317,8 +322,9 @@
 bool CellInstance::is_ready() const {
   if (m_is_stopping) return false;
   // A leader that is cut off from the store may be cut off together with some followers.
-  if (m_term != nullptr) return !m_term->journal().IsStalled(m_now, kReadyStall);
-  return m_now - m_leader_heard_at < kReadySilence && m_now - m_leader_wrote_at < kReadyStall;
+  if (m_term != nullptr) return !m_term->journal().IsStalled(m_now, kReadyStoreTimeout);
+  return m_now - m_last_leader_contact_at < kReadyLeaderTimeout &&
+         m_now - m_leader_version_changed_at < kReadyStoreTimeout;
 }
 
 std::map<std::string, double> CellInstance::Gauges() const {
@@ -330,7 +336,8 @@
       {"jaymast_open_calls", static_cast<double>(m_relay.open_calls())},
   };
   if (m_term == nullptr) {
-    if (m_leader_heard_at != Time{}) gauges["jaymast_leader_silence_seconds"] = seconds(m_leader_heard_at);
+    if (m_last_leader_contact_at != Time{})
+      gauges["jaymast_leader_silence_seconds"] = seconds(m_last_leader_contact_at);
     return gauges;
   }
   const Scheduler& scheduler = m_term->scheduler();
--- a/src/instance/cell_instance.h
+++ b/src/instance/cell_instance.h
@@ -78,25 +78,25 @@
   std::map<std::string, double> Gauges() const;
 
  private:
-  class PeerPolicy;
+  class PolicyRouter;
   struct Follower {
-    Time heard_at{};
+    Time last_contact_at{};
     std::int64_t cpu_millis = 0;
     Time joined_at{};  ///< when its process began to follow this leader
-    bool is_beat_open = false;
+    bool is_heartbeat_pending = false;
   };
 
   void BeginTerm(const LeaderRecord& record, std::int64_t version);
   void EndTerm(std::string_view reason);
   void SendToLeader(const std::string& address, const HttpRequest& request, Time deadline,
                     const std::function<void(Relay::Attempt)>& done);
-  void AnswerClient(const HttpRequest& request, const std::function<void(HttpResponse, bool is_undecided)>& done);
-  Beat OwnBeat() const;
-  void OnBeat(const Beat& beat);
-  void SendBeats();
-  void SendHello();
+  void HandleClientCall(const HttpRequest& request, const std::function<void(HttpResponse, bool is_undecided)>& done);
+  Heartbeat BuildHeartbeat() const;
+  void OnHeartbeat(const Heartbeat& heartbeat);
+  void SendHeartbeats();
+  void SendJoinAnnouncement();
   void UpdateAgents();
-  void YieldToStronger();
+  void YieldToLargerInstance();
   std::string ChooseSuccessor() const;
   void Ask(const std::string& agent, const PolicyQuestion& question, std::function<void(PolicyAnswer)> done);
 
@@ -108,17 +108,17 @@
   const Time m_started_at;
   Relay m_relay;
   Leadership m_leadership;
-  std::unique_ptr<PeerPolicy> m_peer_policy;
+  std::unique_ptr<PolicyRouter> m_policy_router;
   std::unique_ptr<CellTerm> m_term;
   std::vector<std::pair<Time, std::unique_ptr<CellTerm>>> m_ended_terms;  ///< open calls still refer to them
   bool m_is_deposed = false;
   std::map<std::string, Follower> m_followers;
   Time m_term_began_at{};
-  Time m_next_beat{};
-  Time m_next_hello{};
-  Time m_leader_heard_at{};
-  Time m_leader_lost_at;     ///< calls are not passed to the leader from then on, unless it is heard before
-  Time m_leader_wrote_at{};  ///< when the row of the leader was first seen with its present version
+  Time m_next_heartbeat_at{};
+  Time m_next_announcement_at{};
+  Time m_last_leader_contact_at{};
+  Time m_leader_unreachable_at;        ///< calls are not passed to the leader from then on, unless it is heard before
+  Time m_leader_version_changed_at{};  ///< when the row of the leader was first seen with its present version
   std::int64_t m_leader_version = 0;
   bool m_is_stopping = false;
   std::string m_successor;
--- a/src/instance/cell_metrics.cc
+++ b/src/instance/cell_metrics.cc
@@ -13,11 +13,11 @@
 namespace {
 
 /// Reasons of one event that are told apart; further ones are counted together.
-constexpr std::size_t kMaxReasons = 20;
+constexpr std::size_t kMaxReasonsPerEvent = 20;
 constexpr std::string_view kOtherReason = "other";
 
 /// Name of the field that tells how long something took.
-constexpr std::string_view kTimeField = "after_ms";
+constexpr std::string_view kElapsedField = "after_ms";
 constexpr std::string_view kReasonField = "reason";
 
 }  // namespace
@@ -29,18 +29,18 @@
   std::string_view reason;
   for (const auto& [name, value] : fields) {
     if (name == kReasonField) reason = value;
-    if (name != kTimeField) continue;
-    std::int64_t time_ms = 0;
-    const auto [end, ec] = std::from_chars(value.data(), value.data() + value.size(), time_ms);
+    if (name != kElapsedField) continue;
+    std::int64_t elapsed_ms = 0;
+    const auto [end, ec] = std::from_chars(value.data(), value.data() + value.size(), elapsed_ms);
     if (ec != std::errc()) continue;
-    const double seconds = static_cast<double>(time_ms) / 1000.0;
-    const auto bound = std::lower_bound(kBounds.begin(), kBounds.end(), seconds);
-    ++counter.times.counts.at(static_cast<std::size_t>(bound - kBounds.begin()));
-    counter.times.sum_s += seconds;
+    const double seconds = static_cast<double>(elapsed_ms) / 1000.0;
+    const auto bound = std::lower_bound(kBucketBoundsSeconds.begin(), kBucketBoundsSeconds.end(), seconds);
+    ++counter.latencies.counts.at(static_cast<std::size_t>(bound - kBucketBoundsSeconds.begin()));
+    counter.latencies.sum_s += seconds;
   }
   auto by_reason = counter.by_reason.find(reason);
   if (by_reason == counter.by_reason.end()) {
-    if (counter.by_reason.size() >= kMaxReasons) reason = kOtherReason;
+    if (counter.by_reason.size() >= kMaxReasonsPerEvent) reason = kOtherReason;
     by_reason = counter.by_reason.try_emplace(std::string(reason), 0).first;
   }
   ++by_reason->second;
@@ -50,7 +50,7 @@
 std::string CellMetrics::Render(const std::map<std::string, double>& gauges) const {
   prometheus::MetricFamily events{
       "jaymast_events_total", "Events by id and reason.", prometheus::MetricType::Counter, {}};
-  prometheus::MetricFamily times{
+  prometheus::MetricFamily latencies{
       "jaymast_event_seconds", "Time since acceptance at events that tell it.", prometheus::MetricType::Histogram, {}};
   for (const auto& [event, counter] : m_counters) {
     for (const auto& [reason, count] : counter.by_reason) {
@@ -63,19 +63,20 @@
     prometheus::ClientMetric metric;
     metric.label = {{"event", event}};
     std::uint64_t cumulative = 0;
-    for (std::size_t i = 0; i < counter.times.counts.size(); ++i) {
-      cumulative += counter.times.counts.at(i);
-      const double bound = i < kBounds.size() ? kBounds.at(i) : std::numeric_limits<double>::infinity();
+    for (std::size_t i = 0; i < counter.latencies.counts.size(); ++i) {
+      cumulative += counter.latencies.counts.at(i);
+      const double bound =
+          i < kBucketBoundsSeconds.size() ? kBucketBoundsSeconds.at(i) : std::numeric_limits<double>::infinity();
       metric.histogram.bucket.push_back({cumulative, bound});
     }
     if (cumulative == 0) continue;
     metric.histogram.sample_count = cumulative;
-    metric.histogram.sample_sum = counter.times.sum_s;
-    times.metric.push_back(std::move(metric));
+    metric.histogram.sample_sum = counter.latencies.sum_s;
+    latencies.metric.push_back(std::move(metric));
   }
   std::vector<prometheus::MetricFamily> families;
   if (!events.metric.empty()) families.push_back(std::move(events));
-  if (!times.metric.empty()) families.push_back(std::move(times));
+  if (!latencies.metric.empty()) families.push_back(std::move(latencies));
   for (const auto& [name, value] : gauges) {
     prometheus::ClientMetric metric;
     metric.gauge.value = value;
--- a/src/instance/cell_metrics.h
+++ b/src/instance/cell_metrics.h
@@ -25,15 +25,15 @@
 
  private:
   /// Upper bounds of the histogram in seconds: from one commit to the time after which a job is worth nothing.
-  static constexpr std::array<double, 11> kBounds = {0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30};
+  static constexpr std::array<double, 11> kBucketBoundsSeconds = {0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30};
 
-  struct Times {
-    std::array<std::uint64_t, kBounds.size() + 1> counts{};
+  struct LatencyHistogram {
+    std::array<std::uint64_t, kBucketBoundsSeconds.size() + 1> counts{};
     double sum_s = 0;
   };
   struct Counter {
     std::map<std::string, std::uint64_t, std::less<>> by_reason;  ///< empty reason for events without one
-    Times times;                                                  ///< of events that tell a time
+    LatencyHistogram latencies;                                   ///< of events that tell a time
   };
 
   CellEventSink& m_log;
--- a/src/instance/cell_takeover_test.cc
+++ b/src/instance/cell_takeover_test.cc
@@ -101,18 +101,18 @@
   CellWorld world(4, 2);
   world.Run(seconds(2));
   const int leader = world.Leader();
-  const int companion = AnyFollower(world);
+  const int other_inside = AnyFollower(world);
   for (int i = 0; i < 4; ++i) {
-    const bool is_inside = i == leader || i == companion;
+    const bool is_inside = i == leader || i == other_inside;
     if (is_inside) world.At(i).store->fault = StoreFault::kSilent;
     world.At(i).cut_from.insert(is_inside ? "u0" : "u1");
     for (int j = 0; j < 4; ++j) {
-      if (is_inside != (j == leader || j == companion)) world.At(i).cut_from.insert(world.At(j).address);
+      if (is_inside != (j == leader || j == other_inside)) world.At(i).cut_from.insert(world.At(j).address);
     }
   }
   world.Run(milliseconds(2500));
   for (int i = 0; i < 4; ++i) {
-    const bool is_inside = i == leader || i == companion;
+    const bool is_inside = i == leader || i == other_inside;
     EXPECT_EQ(world.At(i).cell->is_ready(), !is_inside) << i;
     world.At(i).cut_from.clear();
     world.At(i).store->fault = StoreFault::kNone;
--- a/src/instance/cell_term.cc
+++ b/src/instance/cell_term.cc
@@ -9,11 +9,11 @@
 namespace {
 
 /// Pause before a failed read of the recorded jobs is repeated.
-constexpr Duration kLoadRetryPause{50'000};
+constexpr Duration kLoadRetryDelay{50'000};
 /// While the store is silent for this time, another instance may be about to take over.
-constexpr Duration kStallBound{350'000};
+constexpr Duration kStoreStallThreshold{350'000};
 /// An outage of the store above this time turns new jobs away at once: a takeover would have happened.
-constexpr Duration kOutageBound{1'300'000};
+constexpr Duration kStoreOutageThreshold{1'300'000};
 
 }  // namespace
 
@@ -40,20 +40,20 @@
   m_now = now;
   m_scheduler.SetNow(now);
   m_journal.OnTick(now);
-  if (!m_are_jobs_loaded && !m_is_reading && now >= m_next_load) Load();
+  if (!m_are_jobs_loaded && !m_is_reading && now >= m_next_load_at) Load();
   m_feeds->OnTick(now);
-  m_scheduler.SetStanding({m_journal.confirmed_at(), m_journal.IsStalled(now, kStallBound),
-                           m_journal.IsStalled(now, kOutageBound), m_journal.store_now_ms(now), unix_now_ms});
-  NoteStore();
+  m_scheduler.SetStanding({m_journal.confirmed_at(), m_journal.IsStalled(now, kStoreStallThreshold),
+                           m_journal.IsStalled(now, kStoreOutageThreshold), m_journal.store_now_ms(now), unix_now_ms});
+  ReportStoreStall();
   if (!m_is_loaded) return;
   m_scheduler.OnTick(now);
   m_journal.OnTick(now);
 }
 
-void CellTerm::NoteStore() {
-  const bool is_stalled = m_journal.IsStalled(m_now, kStallBound);
-  if (is_stalled == m_is_stalled) return;
-  m_is_stalled = is_stalled;
+void CellTerm::ReportStoreStall() {
+  const bool is_stalled = m_journal.IsStalled(m_now, kStoreStallThreshold);
+  if (is_stalled == m_is_store_stalled) return;
+  m_is_store_stalled = is_stalled;
   const std::string unconfirmed_ms = std::to_string(ToMillis(m_now - m_journal.confirmed_at()));
   m_events.Emit(is_stalled ? "store.lost" : "store.regained", {{"unconfirmed_ms", unconfirmed_ms}});
 }
@@ -71,25 +71,25 @@
 
 void CellTerm::OnListComplete(const std::set<UpstreamId>& listed) {
   m_scheduler.OnListComplete(listed);
-  m_has_list = true;
+  m_has_upstream_list = true;
   CheckLoaded();
 }
 
 void CellTerm::Load() {
   m_is_reading = true;
-  m_store.Scan(kRecordTable, m_load_from, "", [this](const StateScanReply& reply) { OnPage(reply); });
+  m_store.Scan(kRecordTable, m_next_key, "", [this](const StateScanReply& reply) { OnPage(reply); });
 }
 
 void CellTerm::OnPage(const StateScanReply& reply) {
   m_is_reading = false;
   if (!reply.is_available) {
-    m_next_load = m_now + kLoadRetryPause;
+    m_next_load_at = m_now + kLoadRetryDelay;
     return;
   }
   for (const StateRow& row : reply.rows) OnRow(row);
   if (reply.has_more && !reply.rows.empty()) {
     // The smallest key above the last one.
-    m_load_from = reply.rows.back().key + '\x01';
+    m_next_key = reply.rows.back().key + '\x01';
     return m_request_tick();
   }
   FinishJobs(reply.now_ms);
@@ -100,7 +100,7 @@
   if (!records) return m_events.Emit("record.unreadable", {{"path", row.table + "/" + row.key}});
   m_scheduler.AddRecordedRow(row, *records);
   for (LogRecord& record : *records) {
-    Loaded& loaded = m_loading[record.job];
+    LoadedJob& loaded = m_loaded_jobs[record.job];
     if (record.kind == RecordKind::kProgress) {
       loaded.progress = std::move(record.text);
     } else {
@@ -109,7 +109,7 @@
   }
 }
 
-void CellTerm::AddJob(const JobId& id, const Loaded& loaded, std::int64_t store_now_ms) {
+void CellTerm::AddJob(const JobId& id, const LoadedJob& loaded, std::int64_t store_now_ms) {
   if (loaded.job.kind == RecordKind::kGone) return;
   Result<Job> job = DecodeJobRecord(id, loaded.job.text);
   if (!job) return m_events.Emit("record.unreadable", {{"path", job.error().path}, {"reason", job.error().reason}});
@@ -122,16 +122,16 @@
 }
 
 void CellTerm::FinishJobs(std::int64_t store_now_ms) {
-  for (const auto& [id, loaded] : m_loading) AddJob(id, loaded, store_now_ms);
-  m_events.Emit("term.jobs_loaded", {{"jobs", std::to_string(m_loading.size())}});
-  m_loading.clear();
+  for (const auto& [id, loaded] : m_loaded_jobs) AddJob(id, loaded, store_now_ms);
+  m_events.Emit("term.jobs_loaded", {{"jobs", std::to_string(m_loaded_jobs.size())}});
+  m_loaded_jobs.clear();
   m_scheduler.FinishLoading();
   m_are_jobs_loaded = true;
   CheckLoaded();
 }
 
 void CellTerm::CheckLoaded() {
-  if (m_is_loaded || !m_are_jobs_loaded || !m_has_config || !m_has_list) return;
+  if (m_is_loaded || !m_are_jobs_loaded || !m_has_config || !m_has_upstream_list) return;
   m_is_loaded = true;
   m_events.Emit("term.ready", {{"epoch", std::to_string(m_journal.epoch())}});
   m_request_tick();
--- a/src/instance/cell_term.h
+++ b/src/instance/cell_term.h
@@ -47,7 +47,7 @@
 
  private:
   /// Newest records of a job in the rows read so far.
-  struct Loaded {
+  struct LoadedJob {
     LogRecord job;
     std::string progress;
   };
@@ -55,11 +55,11 @@
   void Load();
   void OnPage(const StateScanReply& reply);
   void OnRow(const StateRow& row);
-  void AddJob(const JobId& id, const Loaded& loaded, std::int64_t store_now_ms);
+  void AddJob(const JobId& id, const LoadedJob& loaded, std::int64_t store_now_ms);
   void FinishJobs(std::int64_t store_now_ms);
   void CheckLoaded();
   /// Tells when the store stops to answer and when it answers again.
-  void NoteStore();
+  void ReportStoreStall();
 
   StateStore& m_store;
   CellEventSink& m_events;
@@ -68,15 +68,15 @@
   Scheduler m_scheduler;
   Journal m_journal;
   std::unique_ptr<CellFeeds> m_feeds;
-  std::map<JobId, Loaded> m_loading;
-  std::string m_load_from;
-  Time m_next_load{};
+  std::map<JobId, LoadedJob> m_loaded_jobs;
+  std::string m_next_key;
+  Time m_next_load_at{};
   bool m_is_reading = false;
   bool m_are_jobs_loaded = false;
   bool m_has_config = false;
-  bool m_has_list = false;
+  bool m_has_upstream_list = false;
   bool m_is_loaded = false;
-  bool m_is_stalled = false;
+  bool m_is_store_stalled = false;
 };
 
 }  // namespace jaymast
--- a/src/instance/peer_codec.cc
+++ b/src/instance/peer_codec.cc
@@ -18,33 +18,34 @@
 
 }  // namespace
 
-std::string EncodeBeat(const Beat& beat) {
-  return json::serialize(json::object{{"record", EncodeLeaderRecord(beat.record)}, {"version", beat.version}});
+std::string EncodeHeartbeat(const Heartbeat& heartbeat) {
+  return json::serialize(
+      json::object{{"record", EncodeLeaderRecord(heartbeat.record)}, {"version", heartbeat.version}});
 }
 
-std::optional<Beat> DecodeBeat(std::string_view text) {
+std::optional<Heartbeat> DecodeHeartbeat(std::string_view text) {
   const Result<json::object> object = ParseObject(text, "beat");
   if (!object) return std::nullopt;
   FieldReader reader(*object, "beat");
   const std::optional<LeaderRecord> record = DecodeLeaderRecord(reader.RequiredString("record", kMaxTextBytes));
   const std::int64_t version = reader.Int("version", 0, 0, kMaxInt);
   if (reader.error() || !record) return std::nullopt;
-  return Beat{*record, version};
+  return Heartbeat{*record, version};
 }
 
-std::string EncodeHello(const Hello& hello) {
-  return json::serialize(json::object{{"address", hello.address}, {"cpu_millis", hello.cpu_millis}});
+std::string EncodeJoinAnnouncement(const JoinAnnouncement& announcement) {
+  return json::serialize(json::object{{"address", announcement.address}, {"cpu_millis", announcement.cpu_millis}});
 }
 
-std::optional<Hello> DecodeHello(std::string_view text) {
+std::optional<JoinAnnouncement> DecodeJoinAnnouncement(std::string_view text) {
   const Result<json::object> object = ParseObject(text, "hello");
   if (!object) return std::nullopt;
   FieldReader reader(*object, "hello");
-  Hello hello;
-  hello.address = reader.RequiredString("address", kMaxTextBytes);
-  hello.cpu_millis = reader.Int("cpu_millis", 0, 0, kMaxInt);
+  JoinAnnouncement announcement;
+  announcement.address = reader.RequiredString("address", kMaxTextBytes);
+  announcement.cpu_millis = reader.Int("cpu_millis", 0, 0, kMaxInt);
   if (reader.error()) return std::nullopt;
-  return hello;
+  return announcement;
 }
 
 std::string EncodeQuestion(const PolicyQuestion& question) {
--- a/src/instance/peer_codec.h
+++ b/src/instance/peer_codec.h
@@ -11,22 +11,22 @@
 namespace jaymast {
 
 /// Shows a follower who leads and that the leader makes progress.
-struct Beat {
+struct Heartbeat {
   LeaderRecord record;       ///< an empty address tells that the leader has handed over
   std::int64_t version = 0;  ///< of the leader row
 };
 
-std::string EncodeBeat(const Beat& beat);
-std::optional<Beat> DecodeBeat(std::string_view text);
+std::string EncodeHeartbeat(const Heartbeat& heartbeat);
+std::optional<Heartbeat> DecodeHeartbeat(std::string_view text);
 
 /// Announces a follower.
-struct Hello {
+struct JoinAnnouncement {
   std::string address;          ///< peer address
   std::int64_t cpu_millis = 0;  ///< processor share of the instance in thousandths of a core
 };
 
-std::string EncodeHello(const Hello& hello);
-std::optional<Hello> DecodeHello(std::string_view text);
+std::string EncodeJoinAnnouncement(const JoinAnnouncement& announcement);
+std::optional<JoinAnnouncement> DecodeJoinAnnouncement(std::string_view text);
 
 std::string EncodeQuestion(const PolicyQuestion& question);
 std::optional<PolicyQuestion> DecodeQuestion(std::string_view text);
--- a/src/instance/relay.cc
+++ b/src/instance/relay.cc
@@ -7,12 +7,12 @@
 namespace {
 
 /// Pause before a call is sent again to the same leader.
-constexpr Duration kRetryPause{80'000};
+constexpr Duration kRetryDelay{80'000};
 /// An attempt without an answer is repeated on another connection after this time: a connection may be silent for good.
-constexpr Duration kAttemptTime{1'300'000};
+constexpr Duration kAttemptTimeout{1'300'000};
 /// Without a leader for this time, calls are refused at once: this instance is cut off. A takeover takes 0.4 to 0.9 s,
 /// and the leader counts as known for another 0.5 s.
-constexpr Duration kLeaderPatience{1'300'000};
+constexpr Duration kLeaderTimeout{1'300'000};
 
 }  // namespace
 
@@ -21,40 +21,40 @@
   auto call = std::make_shared<Call>();
   call->request = std::move(request);
   call->done = std::move(done);
-  call->came_at = now;
+  call->received_at = now;
   call->deadline = deadline;
   m_calls.insert(call);
-  if (m_is_known) return Try(call, now);
-  if (now - m_known_at > kLeaderPatience) GiveUp(call);
+  if (m_is_leader_known) return SendAttempt(call, now);
+  if (now - m_leader_known_at > kLeaderTimeout) FailCall(call);
 }
 
 void Relay::SetLeader(bool is_known, const std::string& address, std::uint64_t epoch, Time now) {
   m_now = now;
-  if (is_known) m_known_at = now;
-  if (is_known == m_is_known && address == m_address && epoch == m_epoch) return;
-  m_is_known = is_known;
-  m_address = address;
-  m_epoch = epoch;
+  if (is_known) m_leader_known_at = now;
+  if (is_known == m_is_leader_known && address == m_leader_address && epoch == m_leader_epoch) return;
+  m_is_leader_known = is_known;
+  m_leader_address = address;
+  m_leader_epoch = epoch;
   if (!is_known) return;
   const std::vector<CallPtr> calls(m_calls.begin(), m_calls.end());
-  for (const CallPtr& call : calls) Try(call, now);
+  for (const CallPtr& call : calls) SendAttempt(call, now);
 }
 
-void Relay::Try(const CallPtr& call, Time now) {
+void Relay::SendAttempt(const CallPtr& call, Time now) {
   if (call->is_done) return;
-  call->is_open = true;
-  const Time attempt_deadline = std::min(call->deadline, now + kAttemptTime);
+  call->is_attempt_pending = true;
+  const Time attempt_deadline = std::min(call->deadline, now + kAttemptTimeout);
   const std::uint64_t attempt = ++call->attempt;
-  ++call->unresolved;
-  m_ports.send(m_address, call->request, attempt_deadline, [this, call, attempt](Attempt result) {
+  ++call->unresolved_attempts;
+  m_ports.send(m_leader_address, call->request, attempt_deadline, [this, call, attempt](Attempt result) {
     if (call->is_done) return;
-    --call->unresolved;
+    --call->unresolved_attempts;
     if (result.was_sent && !result.is_undecided) call->may_have_run = true;
     // A later attempt decides: an earlier leader may refuse what the new one accepts.
     if (attempt != call->attempt) return;
     if (result.is_answered && !result.is_undecided) return Finish(call, std::move(result.response));
-    call->is_open = false;
-    call->next_attempt = m_now + kRetryPause;
+    call->is_attempt_pending = false;
+    call->next_attempt = m_now + kRetryDelay;
   });
 }
 
@@ -62,19 +62,20 @@
   m_now = now;
   const std::vector<CallPtr> calls(m_calls.begin(), m_calls.end());
   for (const CallPtr& call : calls) {
-    const bool is_hopeless = !m_is_known && now - m_known_at > kLeaderPatience && !call->is_open;
-    if (now >= call->deadline || is_hopeless) {
-      GiveUp(call);
-    } else if (!call->is_open && m_is_known && now >= call->next_attempt) {
-      Try(call, now);
+    const bool is_leader_missing =
+        !m_is_leader_known && now - m_leader_known_at > kLeaderTimeout && !call->is_attempt_pending;
+    if (now >= call->deadline || is_leader_missing) {
+      FailCall(call);
+    } else if (!call->is_attempt_pending && m_is_leader_known && now >= call->next_attempt) {
+      SendAttempt(call, now);
     }
   }
 }
 
-void Relay::GiveUp(const CallPtr& call) {
+void Relay::FailCall(const CallPtr& call) {
   // An attempt without a result may have been received, also by an earlier leader.
-  const bool may_have_run = call->may_have_run || call->unresolved > 0;
-  Finish(call, m_ports.give_up(call->request, m_now - call->came_at, may_have_run));
+  const bool may_have_run = call->may_have_run || call->unresolved_attempts > 0;
+  Finish(call, m_ports.encode_failure(call->request, m_now - call->received_at, may_have_run));
 }
 
 void Relay::Finish(const CallPtr& call, HttpResponse response) {
--- a/src/instance/relay.h
+++ b/src/instance/relay.h
@@ -29,7 +29,7 @@
                        std::function<void(Attempt)> done)>
         send;
     /// Answer for a call without a result after the time that it has waited.
-    std::function<HttpResponse(const HttpRequest&, Duration waited, bool may_have_run)> give_up;
+    std::function<HttpResponse(const HttpRequest&, Duration waited, bool may_have_run)> encode_failure;
   };
 
   explicit Relay(Ports ports) : m_ports(std::move(ports)) {}
@@ -49,28 +49,28 @@
   struct Call {
     HttpRequest request;
     std::function<void(HttpResponse)> done;
-    Time came_at{};
+    Time received_at{};
     Time deadline{};
     Time next_attempt{};
     std::uint64_t attempt = 0;
-    bool is_open = false;  ///< an attempt waits for its answer
-    int unresolved = 0;    ///< attempts that were sent and have no result yet
+    bool is_attempt_pending = false;  ///< an attempt waits for its answer
+    int unresolved_attempts = 0;      ///< attempts that were sent and have no result yet
     bool may_have_run = false;
     bool is_done = false;
   };
   using CallPtr = std::shared_ptr<Call>;
 
-  void Try(const CallPtr& call, Time now);
-  void GiveUp(const CallPtr& call);
+  void SendAttempt(const CallPtr& call, Time now);
+  void FailCall(const CallPtr& call);
   void Finish(const CallPtr& call, HttpResponse response);
 
   Ports m_ports;
   std::set<CallPtr> m_calls;
-  bool m_is_known = false;
-  std::string m_address;
-  std::uint64_t m_epoch = 0;
+  bool m_is_leader_known = false;
+  std::string m_leader_address;
+  std::uint64_t m_leader_epoch = 0;
   Time m_now{};
-  Time m_known_at{};
+  Time m_leader_known_at{};
 };
 
 }  // namespace jaymast
--- a/src/instance/relay_test.cc
+++ b/src/instance/relay_test.cc
@@ -19,7 +19,7 @@
 /// A relay whose attempts are answered by hand.
 class RelayTest : public testing::Test {
  protected:
-  struct Sent {
+  struct SentAttempt {
     std::string address;
     std::function<void(Relay::Attempt)> done;
   };
@@ -30,20 +30,20 @@
   }
   void Tick(Duration time) {
     m_now += time;
-    m_relay.SetLeader(m_is_known, m_leader, m_epoch, m_now);
+    m_relay.SetLeader(m_is_leader_known, m_leader, m_epoch, m_now);
     m_relay.OnTick(m_now);
   }
-  static Relay::Attempt Answer(int status) { return {true, true, false, {status, {}, ""}}; }
+  static Relay::Attempt Response(int status) { return {true, true, false, {status, {}, ""}}; }
 
   Time m_now{Duration(1'000'000)};
-  bool m_is_known = true;
+  bool m_is_leader_known = true;
   std::string m_leader = "a";
   std::uint64_t m_epoch = 1;
-  std::vector<Sent> m_sent;
+  std::vector<SentAttempt> m_sent_attempts;
   std::vector<int> m_statuses;
   Relay m_relay{
       {[this](const std::string& address, const HttpRequest&, Time, std::function<void(Relay::Attempt)> done) {
-         m_sent.push_back({address, std::move(done)});
+         m_sent_attempts.push_back({address, std::move(done)});
        },
        [](const HttpRequest& /*request*/, Duration /*waited*/, bool may_have_run) {
          return HttpResponse{may_have_run ? kMayHaveRun : kRefused, {}, ""};
@@ -57,11 +57,11 @@
   m_leader = "b";
   m_epoch = 2;
   Tick(milliseconds(10));
-  ASSERT_EQ(m_sent.size(), 2U);
-  EXPECT_EQ(m_sent[1].address, "b");
-  m_sent[0].done(Answer(kRefused));
+  ASSERT_EQ(m_sent_attempts.size(), 2U);
+  EXPECT_EQ(m_sent_attempts[1].address, "b");
+  m_sent_attempts[0].done(Response(kRefused));
   EXPECT_TRUE(m_statuses.empty());
-  m_sent[1].done(Answer(kOk));
+  m_sent_attempts[1].done(Response(kOk));
   EXPECT_EQ(m_statuses, std::vector<int>{kOk});
 }
 
@@ -69,8 +69,8 @@
 TEST_F(RelayTest, CallWithoutAnAnswerMayHaveRun) {
   Tick(milliseconds(10));
   Call();
-  m_sent[0].done({false, true, false, {}});
-  m_is_known = false;
+  m_sent_attempts[0].done({false, true, false, {}});
+  m_is_leader_known = false;
   for (int i = 0; i < 30; ++i) Tick(milliseconds(100));
   EXPECT_EQ(m_statuses, std::vector<int>{kMayHaveRun});
 }
@@ -82,9 +82,9 @@
   m_leader = "";
   m_epoch = 2;
   Tick(milliseconds(800));
-  ASSERT_EQ(m_sent.size(), 2U);
-  m_sent[1].done({true, true, true, {}});
-  m_is_known = false;
+  ASSERT_EQ(m_sent_attempts.size(), 2U);
+  m_sent_attempts[1].done({true, true, true, {}});
+  m_is_leader_known = false;
   Tick(milliseconds(2100));
   EXPECT_EQ(m_statuses, std::vector<int>{kMayHaveRun});
 }
@@ -92,7 +92,7 @@
 // Guards against calls that wait although this instance is cut off.
 TEST_F(RelayTest, CallIsRefusedAtOnceWithoutALeader) {
   Tick(milliseconds(10));
-  m_is_known = false;
+  m_is_leader_known = false;
   for (int i = 0; i < 25; ++i) Tick(milliseconds(100));
   Call();
   EXPECT_EQ(m_statuses, std::vector<int>{kRefused});
@@ -101,18 +101,18 @@
 // Guards against calls that are dropped while the leader changes.
 TEST_F(RelayTest, CallWaitsForTheNextLeader) {
   Tick(milliseconds(10));
-  m_is_known = false;
+  m_is_leader_known = false;
   Tick(milliseconds(300));
   Call();
-  EXPECT_TRUE(m_sent.empty());
-  m_is_known = true;
+  EXPECT_TRUE(m_sent_attempts.empty());
+  m_is_leader_known = true;
   m_epoch = 2;
   Tick(milliseconds(300));
-  ASSERT_EQ(m_sent.size(), 1U);
-  m_sent[0].done({true, true, true, {}});
+  ASSERT_EQ(m_sent_attempts.size(), 1U);
+  m_sent_attempts[0].done({true, true, true, {}});
   Tick(milliseconds(100));
-  ASSERT_EQ(m_sent.size(), 2U) << "an undecided answer is asked again";
-  m_sent[1].done(Answer(kOk));
+  ASSERT_EQ(m_sent_attempts.size(), 2U) << "an undecided answer is asked again";
+  m_sent_attempts[1].done(Response(kOk));
   EXPECT_EQ(m_statuses, std::vector<int>{kOk});
 }
 
--- a/src/jobs/job_record.cc
+++ b/src/jobs/job_record.cc
@@ -194,8 +194,8 @@
     }
   }
   if (const json::array* repeat = reader.Array("rep"); repeat != nullptr && repeat->size() == 3) {
-    for (const json::value& figure : *repeat) {
-      if (!figure.is_int64()) return Error{ErrorId::kInputField, path + "/rep", "not a number"};
+    for (const json::value& number : *repeat) {
+      if (!number.is_int64()) return Error{ErrorId::kInputField, path + "/rep", "not a number"};
     }
     job.spec.repeat_count = (*repeat)[0].get_int64();
     job.spec.start_at_unix_ms = (*repeat)[1].get_int64();
@@ -271,18 +271,18 @@
 }
 
 std::optional<TaskKey> ParseTaskKey(std::string_view text) {
-  std::array<std::size_t, 3> figures{};
+  std::array<std::size_t, 3> numbers{};
   for (int i = 2; i >= 0; --i) {
     const std::size_t dot = text.rfind('.');
     if (dot == std::string_view::npos) return std::nullopt;
     const std::string_view digits = text.substr(dot + 1);
     const auto [end, ec] =
-        std::from_chars(digits.data(), digits.data() + digits.size(), figures.at(static_cast<std::size_t>(i)));
+        std::from_chars(digits.data(), digits.data() + digits.size(), numbers.at(static_cast<std::size_t>(i)));
     if (ec != std::errc() || end != digits.data() + digits.size()) return std::nullopt;
     text = text.substr(0, dot);
   }
   if (text.empty()) return std::nullopt;
-  return TaskKey{JobId(text), figures[0], figures[1], figures[2]};
+  return TaskKey{JobId(text), numbers[0], numbers[1], numbers[2]};
 }
 
 }  // namespace jaymast
--- a/src/tasks/home_task.h
+++ b/src/tasks/home_task.h
@@ -61,8 +61,8 @@
   std::set<EntryId> refused_by;
   std::set<UpstreamId> failed_on;
   std::string wait_reason;  ///< why the task waits, for people
-  std::int64_t backoffs = 0;
-  std::int64_t silent_probes = 0;
+  std::int64_t backoff_count = 0;
+  std::int64_t unanswered_probes = 0;
   bool cancel_requested = false;
   bool is_claimed = false;        ///< some attempt was claimed, so the task may have run
   bool is_outcome_known = false;  ///< ended, but the store is unreachable and the outcome is not recorded yet
--- a/src/tasks/task_adoption.cc
+++ b/src/tasks/task_adoption.cc
@@ -14,12 +14,12 @@
 }  // namespace
 
 void TaskManager::OnAdoptRows(const std::vector<Row>& rows) {
-  if (!m_membership.IsLeaseValid() || m_closed) return;
+  if (!m_membership.IsLeaseValid() || m_is_closed) return;
   for (const Row& row : rows) {
     const EntryId home(row.key.substr(kAdoptPrefix.size()));
     const EntryId adopter(row.value);
     if (adopter == m_context.self) {
-      if (m_adopted.insert(home).second) LoadJournal(home);
+      if (m_adopted_homes.insert(home).second) LoadJournal(home);
       continue;
     }
     if (!m_membership.HasRecord(adopter)) AdoptOrphan(home, row.version);
@@ -34,7 +34,7 @@
   if (PreferredEntry(home.value(), candidates) != m_context.self) return;
   m_table.Commit({{AdoptKey(home), row_version}, m_membership.IsMember()}, {{AdoptKey(home), m_context.self.value()}},
                  [this, home](CommitOutcome outcome, std::int64_t /*version*/) {
-                   const bool is_adopted = outcome == CommitOutcome::kCommitted && m_adopted.insert(home).second;
+                   const bool is_adopted = outcome == CommitOutcome::kCommitted && m_adopted_homes.insert(home).second;
                    if (is_adopted) LoadJournal(home);
                  });
 }
@@ -44,7 +44,7 @@
   request.prefixes.push_back(JournalPrefix(home));
   m_table.Read(request, [this, home](const ReadReply& reply) {
     if (!reply.available) {
-      m_adopted.erase(home);
+      m_adopted_homes.erase(home);
       return;
     }
     std::vector<Row> rows = reply.rows;
@@ -100,9 +100,9 @@
   for (const TaskId& id : tasks) {
     HomeTask& task = m_tasks.at(id);
     if (task.phase == HomeTaskPhase::kEnded) {
-      Retain(id);
+      RetainOutcome(id);
     } else if (task.phase == HomeTaskPhase::kStarted) {
-      m_started.insert(id);
+      m_started_tasks.insert(id);
       Probe(task);
     } else if (task.phase == HomeTaskPhase::kQueued) {
       // A member of a gang may have been dispatched with another member already.
--- a/src/tasks/task_dispatch.cc
+++ b/src/tasks/task_dispatch.cc
@@ -16,14 +16,14 @@
 namespace {
 
 /// Holds that this entry asks for at a time. More would only wait in the queues of the owners.
-constexpr std::size_t kMaxOpenHolds = 256;
+constexpr std::size_t kMaxOpenHoldRequests = 256;
 
 constexpr Duration kHoldTimeout = std::chrono::milliseconds(1500);
 constexpr Duration kFirstBackoff = std::chrono::milliseconds(50);
 constexpr std::int64_t kMaxBackoffDoublings = 5;
-constexpr Duration kFirstProbe = std::chrono::seconds(3);
-constexpr Duration kNextProbe = std::chrono::seconds(10);
-constexpr Duration kCommitRetry = std::chrono::milliseconds(500);
+constexpr Duration kFirstProbeDelay = std::chrono::seconds(3);
+constexpr Duration kProbeInterval = std::chrono::seconds(10);
+constexpr Duration kCommitRetryDelay = std::chrono::milliseconds(500);
 
 /// A task that failed on this many different upstreams is a bad task, not a task on bad upstreams.
 constexpr std::size_t kMaxFailedUpstreams = 3;
@@ -33,7 +33,7 @@
                                                     WorkClass::kGang, WorkClass::kBatch};
 
 /// Whether the other members of a gang need not wait for this one: it has ended, or it runs and is never started again.
-bool IsPlacedForGood(const HomeTask& task) {
+bool IsPlacementFinal(const HomeTask& task) {
   if (task.phase == HomeTaskPhase::kEnded) return true;
   return task.phase == HomeTaskPhase::kStarted && task.spec.semantics == Semantics::kAtMostOnce;
 }
@@ -42,15 +42,15 @@
 
 void TaskManager::Enqueue(HomeTask& task) {
   task.phase = HomeTaskPhase::kQueued;
-  m_started.erase(task.spec.id);
+  m_started_tasks.erase(task.spec.id);
   m_queue.Push(task.spec.work_class, task.spec.team, task.spec.id);
   DispatchQueue();
 }
 
 void TaskManager::DispatchQueue() {
-  if (m_draining) return;
+  if (m_is_draining) return;
   for (const WorkClass work_class : kServiceOrder) {
-    while (m_open_holds < kMaxOpenHolds && DispatchNext(work_class)) {
+    while (m_open_hold_requests < kMaxOpenHoldRequests && DispatchNext(work_class)) {
     }
   }
 }
@@ -61,19 +61,19 @@
   const auto found = m_tasks.find(*id);
   if (found == m_tasks.end() || found->second.phase != HomeTaskPhase::kQueued) return true;
   if (found->second.spec.gang.empty()) {
-    AskForHold(found->second);
+    RequestHold(found->second);
   } else {
     DispatchGang(*id);
   }
   return true;
 }
 
-void TaskManager::AskForHold(HomeTask& task) {
+void TaskManager::RequestHold(HomeTask& task) {
   const std::optional<EntryId> owner = m_router.ChooseForDurable(task.spec, task.refused_by);
   if (!owner) return Requeue(task, "no entry serves upstreams for this task");
   task.phase = HomeTaskPhase::kHolding;
   ++task.attempt;
-  ++m_open_holds;
+  ++m_open_hold_requests;
   task.owner = *owner;
   m_router.Debit(*owner, task.spec.demand);
   HoldRequest request;
@@ -88,14 +88,14 @@
 void TaskManager::OnHoldTimeout(const AttemptId& id) {
   HomeTask* task = Find(id);
   if (task == nullptr || task->phase != HomeTaskPhase::kHolding) return;
-  CloseHold(*task);
+  CloseHoldRequest(*task);
   ReleaseHoldOf(*task);
   task->refused_by.insert(task->owner);
   Requeue(*task, "the owner did not answer");
 }
 
-void TaskManager::CloseHold(const HomeTask& task) {
-  --m_open_holds;
+void TaskManager::CloseHoldRequest(const HomeTask& task) {
+  --m_open_hold_requests;
   m_router.Credit(task.owner, task.spec.demand);
 }
 
@@ -109,7 +109,7 @@
     if (reply.granted) m_hooks.send(from, ReleaseHold{reply.id});
     return;
   }
-  CloseHold(*task);
+  CloseHoldRequest(*task);
   if (!reply.granted) {
     task->refused_by.insert(from);
     return Requeue(*task, reply.reason);
@@ -134,10 +134,10 @@
     return End(task, TaskEnd{EndState::kCancelled, verdict, ErrorId::kTaskCancelled, "cancelled"}, EntryId());
   }
   task.phase = HomeTaskPhase::kQueued;
-  m_started.erase(task.spec.id);
+  m_started_tasks.erase(task.spec.id);
   EmitTask(EventKind::kTaskRetried, task, reason);
   if (!task.spec.gang.empty()) AbandonGangHolds(task.spec.gang);
-  const std::int64_t doublings = std::min(task.backoffs++, kMaxBackoffDoublings);
+  const std::int64_t doublings = std::min(task.backoff_count++, kMaxBackoffDoublings);
   const Duration backoff = m_context.Jittered(kFirstBackoff * (1 << doublings));
   m_context.After(backoff, [this, id = task.spec.id] {
     const auto found = m_tasks.find(id);
@@ -163,7 +163,7 @@
   const std::vector<HomeTask*> members = GangMembers(first.spec.gang);
   const bool is_complete = static_cast<std::int64_t>(members.size()) == first.spec.gang_size;
   const bool is_ready = is_complete && std::all_of(members.begin(), members.end(), [](const HomeTask* task) {
-                          return task->phase == HomeTaskPhase::kQueued || IsPlacedForGood(*task);
+                          return task->phase == HomeTaskPhase::kQueued || IsPlacementFinal(*task);
                         });
   // The member that is queued last finds the gang ready.
   if (!is_ready) return;
@@ -172,7 +172,7 @@
     if (task->phase == HomeTaskPhase::kQueued) m_queue.Erase(task->spec.id);
   }
   for (HomeTask* task : members) {
-    if (task->phase == HomeTaskPhase::kQueued) AskForHold(*task);
+    if (task->phase == HomeTaskPhase::kQueued) RequestHold(*task);
   }
   CheckGang(gang);
 }
@@ -180,7 +180,7 @@
 void TaskManager::CheckGang(const GangId& gang) {
   const std::vector<HomeTask*> members = GangMembers(gang);
   const bool is_held = std::all_of(members.begin(), members.end(), [](const HomeTask* task) {
-    return task->phase == HomeTaskPhase::kHeld || IsPlacedForGood(*task);
+    return task->phase == HomeTaskPhase::kHeld || IsPlacementFinal(*task);
   });
   if (!is_held) return;
   for (HomeTask* task : members) {
@@ -199,7 +199,7 @@
 void TaskManager::AbandonGangHolds(const GangId& gang) {
   for (HomeTask* task : GangMembers(gang)) {
     if (task->phase != HomeTaskPhase::kHeld && task->phase != HomeTaskPhase::kHolding) continue;
-    if (task->phase == HomeTaskPhase::kHolding) CloseHold(*task);
+    if (task->phase == HomeTaskPhase::kHolding) CloseHoldRequest(*task);
     ReleaseHoldOf(*task);
     task->phase = HomeTaskPhase::kQueued;
     // The member that could not be placed enqueues the gang again after its backoff.
@@ -207,9 +207,9 @@
   }
 }
 
-void TaskManager::StopGang(const HomeTask& lost) {
-  for (const HomeTask* task : GangMembers(lost.spec.gang)) {
-    if (task->phase != HomeTaskPhase::kStarted || task->spec.id == lost.spec.id) continue;
+void TaskManager::StopOtherGangMembers(const HomeTask& ended_member) {
+  for (const HomeTask* task : GangMembers(ended_member.spec.gang)) {
+    if (task->phase != HomeTaskPhase::kStarted || task->spec.id == ended_member.spec.id) continue;
     // At-most-once members may not be started again, so they run on while the others are placed anew.
     if (task->spec.semantics == Semantics::kAtMostOnce) continue;
     m_hooks.send(task->owner, StopOrder{AttemptId{task->spec.id, task->attempt}, StopMode::kCheckpoint});
@@ -242,9 +242,9 @@
   }
   task->is_claimed = true;
   task->phase = HomeTaskPhase::kStarted;
-  task->silent_probes = 0;
-  task->next_probe = m_context.Now() + kFirstProbe;
-  m_started.insert(task->spec.id);
+  task->unanswered_probes = 0;
+  task->next_probe = m_context.Now() + kFirstProbeDelay;
+  m_started_tasks.insert(task->spec.id);
   EmitTask(EventKind::kTaskClaimed, *task, std::string(ToString(task->spec.semantics)));
   m_hooks.send(task->owner, StartOrder{task->spec, task->attempt, task->checkpoint});
 }
@@ -264,9 +264,9 @@
 void TaskManager::OnRunning(const TaskRunning& running) {
   HomeTask* task = Find(running.id);
   if (task == nullptr || task->phase != HomeTaskPhase::kStarted) return;
-  task->silent_probes = 0;
-  task->backoffs = 0;
-  task->next_probe = m_context.Now() + kNextProbe;
+  task->unanswered_probes = 0;
+  task->backoff_count = 0;
+  task->next_probe = m_context.Now() + kProbeInterval;
   if (task->cancel_requested) m_hooks.send(task->owner, StopOrder{running.id, StopMode::kStop});
 }
 
@@ -327,7 +327,7 @@
       [[fallthrough]];
     case Outcome::kNotStarted:
       Acknowledge(from, result.id);
-      StopGang(task);
+      StopOtherGangMembers(task);
       return Requeue(task, result.outcome == Outcome::kLapsed ? "the task lease lapsed" : "the start was refused");
   }
 }
@@ -341,7 +341,7 @@
     return End(task, TaskEnd{EndState::kFailed, Verdict::kRan, ErrorId::kTaskFailed, result.output}, from);
   }
   Acknowledge(from, result.id);
-  StopGang(task);
+  StopOtherGangMembers(task);
   // Another owner is preferred, because the upstream may be at fault.
   task.refused_by.insert(from);
   Requeue(task, "failed: " + result.output);
@@ -349,7 +349,7 @@
 
 void TaskManager::Checkpoint(HomeTask& task, const EntryId& from, const TaskResult& result) {
   task.phase = HomeTaskPhase::kEnding;
-  m_started.erase(task.spec.id);
+  m_started_tasks.erase(task.spec.id);
   JournalRecord record;
   record.kind = JournalRecordKind::kReleased;
   record.id = result.id;
@@ -358,14 +358,14 @@
     HomeTask* current = Find(result.id);
     if (current == nullptr) return;
     if (outcome != CommitOutcome::kCommitted) {
-      m_context.After(kCommitRetry, [this, from, result] {
+      m_context.After(kCommitRetryDelay, [this, from, result] {
         if (HomeTask* again = Find(result.id)) Checkpoint(*again, from, result);
       });
       return;
     }
     Acknowledge(from, result.id);
     current->checkpoint = result.output;
-    StopGang(*current);
+    StopOtherGangMembers(*current);
     Requeue(*current, "checkpointed to be moved");
   });
 }
@@ -373,7 +373,7 @@
 void TaskManager::End(HomeTask& task, TaskEnd end, const EntryId& acknowledge_to) {
   task.end = std::move(end);
   task.phase = HomeTaskPhase::kEnding;
-  m_started.erase(task.spec.id);
+  m_started_tasks.erase(task.spec.id);
   CommitEnd(AttemptId{task.spec.id, task.attempt}, acknowledge_to);
 }
 
@@ -390,32 +390,32 @@
     if (outcome != CommitOutcome::kCommitted) {
       // The outcome stays in memory until the store is back. Callers get it now: the runner keeps it for the next home.
       current->is_outcome_known = true;
-      AnswerWaiters(id.task);
+      NotifyWaiters(id.task);
       CheckSubmissionsOf(id.task);
-      m_context.After(kCommitRetry, [this, id, acknowledge_to] { CommitEnd(id, acknowledge_to); });
+      m_context.After(kCommitRetryDelay, [this, id, acknowledge_to] { CommitEnd(id, acknowledge_to); });
       return;
     }
     Acknowledge(acknowledge_to, id);
     current->phase = HomeTaskPhase::kEnded;
     EmitTask(EventKind::kTaskEnded, *current, std::string(ToString(current->end.state)));
-    AnswerWaiters(id.task);
+    NotifyWaiters(id.task);
     CheckSubmissionsOf(id.task);
     const GangId gang = current->spec.gang;
-    Retain(id.task);
+    RetainOutcome(id.task);
     if (!gang.empty()) OnGangMemberEnded(gang);
   });
 }
 
-void TaskManager::Retain(const TaskId& task) {
-  m_retained.push_back(task);
-  if (m_retained.size() <= static_cast<std::size_t>(m_context.settings.max_retained_outcomes)) return;
-  const TaskId oldest = m_retained.front();
-  m_retained.pop_front();
+void TaskManager::RetainOutcome(const TaskId& task) {
+  m_retained_tasks.push_back(task);
+  if (m_retained_tasks.size() <= static_cast<std::size_t>(m_context.settings.max_retained_outcomes)) return;
+  const TaskId oldest = m_retained_tasks.front();
+  m_retained_tasks.pop_front();
   const auto found = m_tasks.find(oldest);
   if (found == m_tasks.end()) return;
   const std::string idempotency_row = IdempotencyRowKey(found->second.spec);
-  m_journal.Forget(oldest, idempotency_row);
-  m_idempotent.erase(idempotency_row);
+  m_journal.Remove(oldest, idempotency_row);
+  m_task_by_idempotency_key.erase(idempotency_row);
   const auto gang = m_gangs.find(found->second.spec.gang);
   if (gang != m_gangs.end() && gang->second.erase(oldest) > 0 && gang->second.empty()) m_gangs.erase(gang);
   m_tasks.erase(found);
--- a/src/tasks/task_journal.cc
+++ b/src/tasks/task_journal.cc
@@ -65,9 +65,9 @@
   }
   const std::string key = fmt::format("{}{:012}", JournalPrefix(m_context.self), m_next_row++);
   writes.push_back({key, EncodeRecords(records)});
-  const std::size_t deletes = std::min(m_deletable.size(), kMaxDeletesPerWrite);
-  for (std::size_t i = 0; i < deletes; ++i) writes.push_back({m_deletable[i], std::nullopt});
-  m_deletable.erase(m_deletable.begin(), m_deletable.begin() + static_cast<std::ptrdiff_t>(deletes));
+  const std::size_t deletes = std::min(m_rows_to_delete.size(), kMaxDeletesPerWrite);
+  for (std::size_t i = 0; i < deletes; ++i) writes.push_back({m_rows_to_delete[i], std::nullopt});
+  m_rows_to_delete.erase(m_rows_to_delete.begin(), m_rows_to_delete.begin() + static_cast<std::ptrdiff_t>(deletes));
   ++m_open_writes;
   auto shared = std::make_shared<Batch>(std::move(batch));
   m_table.Commit(std::move(conditions), std::move(writes),
@@ -75,7 +75,7 @@
                    --m_open_writes;
                    if (outcome == CommitOutcome::kConflict) return OnConflict(std::move(*shared));
                    if (outcome == CommitOutcome::kCommitted) {
-                     for (const Pending& pending : *shared) Register(key, pending.record.id.task);
+                     for (const Pending& pending : *shared) AddTaskToRow(key, pending.record.id.task);
                    }
                    for (const Pending& pending : *shared) pending.done(outcome);
                  });
@@ -107,27 +107,27 @@
   });
 }
 
-void TaskJournal::Register(const std::string& key, const TaskId& task) {
-  m_rows[key].insert(task);
-  m_rows_of_task[task].insert(key);
+void TaskJournal::AddTaskToRow(const std::string& key, const TaskId& task) {
+  m_tasks_by_row[key].insert(task);
+  m_rows_by_task[task].insert(key);
 }
 
 void TaskJournal::AddRow(const std::string& key, const std::vector<JournalRecord>& records) {
-  for (const JournalRecord& record : records) Register(key, record.id.task);
+  for (const JournalRecord& record : records) AddTaskToRow(key, record.id.task);
 }
 
-void TaskJournal::Forget(const TaskId& task, const std::string& extra_row) {
-  if (!extra_row.empty()) m_deletable.push_back(extra_row);
-  const auto rows = m_rows_of_task.find(task);
-  if (rows == m_rows_of_task.end()) return;
+void TaskJournal::Remove(const TaskId& task, const std::string& extra_row) {
+  if (!extra_row.empty()) m_rows_to_delete.push_back(extra_row);
+  const auto rows = m_rows_by_task.find(task);
+  if (rows == m_rows_by_task.end()) return;
   for (const std::string& key : rows->second) {
-    const auto row = m_rows.find(key);
+    const auto row = m_tasks_by_row.find(key);
     row->second.erase(task);
     if (!row->second.empty()) continue;
-    m_deletable.push_back(key);
-    m_rows.erase(row);
+    m_rows_to_delete.push_back(key);
+    m_tasks_by_row.erase(row);
   }
-  m_rows_of_task.erase(rows);
+  m_rows_by_task.erase(rows);
 }
 
 }  // namespace jaymast
--- a/src/tasks/task_journal.h
+++ b/src/tasks/task_journal.h
@@ -38,7 +38,7 @@
 
   /// The records of a task are not needed any more. Its rows are deleted when they hold no other task.
   /// @param extra_row a further row to delete, or empty
-  void Forget(const TaskId& task, const std::string& extra_row);
+  void Remove(const TaskId& task, const std::string& extra_row);
 
   /// Whether no record waits or is being written.
   bool IsIdle() const { return m_pending.empty() && m_open_writes == 0; }
@@ -55,15 +55,15 @@
   Batch TakeBatch();
   void WriteBatch(Batch batch);
   void OnConflict(Batch batch);
-  void Register(const std::string& key, const TaskId& task);
+  void AddTaskToRow(const std::string& key, const TaskId& task);
 
   Context& m_context;
   TableClient& m_table;
   const Membership& m_membership;
   std::vector<Pending> m_pending;
-  std::map<std::string, std::set<TaskId>> m_rows;
-  std::map<TaskId, std::set<std::string>> m_rows_of_task;
-  std::vector<std::string> m_deletable;
+  std::map<std::string, std::set<TaskId>> m_tasks_by_row;
+  std::map<TaskId, std::set<std::string>> m_rows_by_task;
+  std::vector<std::string> m_rows_to_delete;
   std::uint64_t m_next_row = 1;
   int m_open_writes = 0;
 };
--- a/src/tasks/task_manager.cc
+++ b/src/tasks/task_manager.cc
@@ -19,11 +19,11 @@
 namespace jaymast {
 namespace {
 
-constexpr Duration kProbeSweep = std::chrono::seconds(1);
-constexpr Duration kFirstProbe = std::chrono::seconds(3);
+constexpr Duration kProbeSweepInterval = std::chrono::seconds(1);
+constexpr Duration kFirstProbeDelay = std::chrono::seconds(3);
 
 /// How long the tasks of a confirmed plan may take to be accepted before they are submitted again.
-constexpr Duration kPlanSubmitWait = std::chrono::seconds(2);
+constexpr Duration kPlanSubmitTimeout = std::chrono::seconds(2);
 
 /// How long a caller waits at least for the acceptance to be recorded.
 constexpr Duration kAcceptTimeout = std::chrono::seconds(5);
@@ -48,7 +48,7 @@
 TaskId TaskManager::NewTaskId() { return TaskId(fmt::format("{}-{}", m_context.self.value(), m_next_task++)); }
 
 std::optional<Error> TaskManager::CheckAdmission(std::size_t count) const {
-  if (m_closed) return Error{ErrorId::kNotServing, "", "this entry is shutting down"};
+  if (m_is_closed) return Error{ErrorId::kNotServing, "", "this entry is shutting down"};
   if (!m_membership.IsLeaseValid()) {
     return Error{ErrorId::kStoreUnavailable, "", "durable work cannot be recorded while the store is unreachable"};
   }
@@ -72,7 +72,7 @@
     submission.tasks.push_back(spec.id);
   }
   AssignGangs(specs, [this] { return GangId(fmt::format("{}-g{}", m_context.self.value(), m_next_gang++)); });
-  m_context.timers.At(wait_until, [this, call] { AnswerSubmission(call, true); });
+  m_context.timers.At(wait_until, [this, call] { RespondToSubmission(call, true); });
   for (TaskSpec& spec : specs) Accept(std::move(spec), call);
 }
 
@@ -81,7 +81,7 @@
   std::int64_t index = 0;
   for (TaskSpec& spec : specs) spec.idempotency_key = fmt::format("plan/{}/{}", plan.value(), index++);
   m_plan_submissions[m_next_call] = std::move(done);
-  Submit(0, std::move(specs), m_context.Now() + kPlanSubmitWait);
+  Submit(0, std::move(specs), m_context.Now() + kPlanSubmitTimeout);
 }
 
 void TaskManager::Accept(TaskSpec spec, std::uint64_t submission) {
@@ -91,84 +91,85 @@
     const std::string key = IdempotencyRowKey(spec);
     const boost::json::object value = {{"task", id.value()}, {"digest", RequestDigest(spec)}};
     insert = Write{key, boost::json::serialize(value)};
-    m_idempotent.try_emplace(key, id);
+    m_task_by_idempotency_key.try_emplace(key, id);
   }
   HomeTask& task = m_tasks[id];
   task.spec = std::move(spec);
   task.accepted_at = m_context.Now();
-  m_submissions_of[id].insert(submission);
+  m_submissions_by_task[id].insert(submission);
   JournalRecord record;
   record.kind = JournalRecordKind::kAccepted;
   record.id.task = id;
   record.spec = task.spec;
-  const bool is_repeated = insert && m_idempotent.at(insert->key) != id;
-  if (is_repeated) return JoinFirst(m_idempotent.at(insert->key), id, submission);
+  const bool is_repeated = insert && m_task_by_idempotency_key.at(insert->key) != id;
+  if (is_repeated) return AttachToFirst(m_task_by_idempotency_key.at(insert->key), id, submission);
   m_journal.Append(std::move(record), std::move(insert),
                    [this, id, submission](CommitOutcome outcome) { OnAccepted(id, submission, outcome); });
 }
 
-void TaskManager::JoinFirst(const TaskId& first, const TaskId& repeated, std::uint64_t submission) {
+void TaskManager::AttachToFirst(const TaskId& first, const TaskId& repeated, std::uint64_t submission) {
   const auto known = m_tasks.find(first);
   if (known == m_tasks.end()) return ResolveDuplicate(repeated, submission);
   Submission& open = m_submissions.at(submission);
   const bool is_same = RequestDigest(known->second.spec) == RequestDigest(m_tasks.at(repeated).spec);
   m_tasks.erase(repeated);
-  m_submissions_of.erase(repeated);
+  m_submissions_by_task.erase(repeated);
   if (!is_same) {
     open.refused[repeated] =
         Error{ErrorId::kIdempotencyMismatch, "Idempotency-Key", "the key was used for another request"};
-    return CloseAccept(submission);
+    return FinishAcceptance(submission);
   }
   std::replace(open.tasks.begin(), open.tasks.end(), repeated, first);
-  m_submissions_of[first].insert(submission);
+  m_submissions_by_task[first].insert(submission);
   if (known->second.phase == HomeTaskPhase::kAccepting) {
-    m_joined[first].push_back(submission);
+    m_attached_submissions[first].push_back(submission);
   } else {
-    CloseAccept(submission);
+    FinishAcceptance(submission);
   }
 }
 
-void TaskManager::CloseJoined(const TaskId& first, const std::optional<Error>& refused) {
-  const auto found = m_joined.find(first);
-  if (found == m_joined.end()) return;
+void TaskManager::CloseAttached(const TaskId& first, const std::optional<Error>& refused) {
+  const auto found = m_attached_submissions.find(first);
+  if (found == m_attached_submissions.end()) return;
   const std::vector<std::uint64_t> submissions = std::move(found->second);
-  m_joined.erase(found);
+  m_attached_submissions.erase(found);
   for (const std::uint64_t submission : submissions) {
     const auto open = m_submissions.find(submission);
     if (open != m_submissions.end() && refused) open->second.refused[first] = *refused;
-    CloseAccept(submission);
+    FinishAcceptance(submission);
   }
 }
 
 void TaskManager::OnAccepted(const TaskId& id, std::uint64_t submission, CommitOutcome outcome) {
   if (outcome == CommitOutcome::kConflict) {
-    CloseJoined(id, Error{ErrorId::kStoreUnavailable, "Idempotency-Key", "another entry has this key; try again"});
+    CloseAttached(id, Error{ErrorId::kStoreUnavailable, "Idempotency-Key", "another entry has this key; try again"});
     return ResolveDuplicate(id, submission);
   }
   const auto found = m_tasks.find(id);
   const auto open = m_submissions.find(submission);
   if (outcome == CommitOutcome::kUnavailable) {
-    if (!found->second.spec.idempotency_key.empty()) m_idempotent.erase(IdempotencyRowKey(found->second.spec));
+    if (!found->second.spec.idempotency_key.empty())
+      m_task_by_idempotency_key.erase(IdempotencyRowKey(found->second.spec));
     m_tasks.erase(found);
-    m_submissions_of.erase(id);
+    m_submissions_by_task.erase(id);
     const Error error{ErrorId::kStoreUnavailable, "", "the acceptance could not be recorded"};
-    CloseJoined(id, error);
+    CloseAttached(id, error);
     if (open == m_submissions.end()) return;
     open->second.refused[id] = error;
-    return CloseAccept(submission);
+    return FinishAcceptance(submission);
   }
   HomeTask& task = found->second;
   EmitTask(EventKind::kTaskAccepted, task, std::string(ToString(task.spec.semantics)));
   if (!task.spec.gang.empty()) m_gangs[task.spec.gang].insert(id);
   Enqueue(task);
-  CloseAccept(submission);
-  CloseJoined(id, std::nullopt);
+  FinishAcceptance(submission);
+  CloseAttached(id, std::nullopt);
 }
 
 void TaskManager::ResolveDuplicate(const TaskId& id, std::uint64_t submission) {
   const TaskSpec spec = m_tasks.at(id).spec;
   m_tasks.erase(id);
-  m_submissions_of.erase(id);
+  m_submissions_by_task.erase(id);
   const std::string key = IdempotencyRowKey(spec);
   ReadRequest request;
   request.keys.push_back(key);
@@ -180,7 +181,7 @@
     }
     // The first request with this key is being recorded, or the store went away. This one wrote nothing.
     open->second.refused[id] = Error{ErrorId::kStoreUnavailable, "Idempotency-Key", "the key could not be checked"};
-    CloseAccept(submission);
+    FinishAcceptance(submission);
   });
 }
 
@@ -195,25 +196,25 @@
   if (!is_same) {
     open.refused[refused] =
         Error{ErrorId::kIdempotencyMismatch, "Idempotency-Key", "the key was used for another request"};
-    return CloseAccept(submission);
+    return FinishAcceptance(submission);
   }
   const TaskId first{std::string_view(task->get_string())};
   std::replace(open.tasks.begin(), open.tasks.end(), refused, first);
   if (m_tasks.contains(first)) {
-    m_submissions_of[first].insert(submission);
-    return CloseAccept(submission);
+    m_submissions_by_task[first].insert(submission);
+    return FinishAcceptance(submission);
   }
-  if (open.tasks.size() > 1 || open.request == 0) return CloseAccept(submission);
+  if (open.tasks.size() > 1 || open.request == 0) return FinishAcceptance(submission);
   // A single task that another entry accepted: its home answers the caller.
   const RequestId request = open.request;
   const Time wait_until = open.wait_until;
   m_submissions.erase(submission);
   const std::uint64_t call = m_next_call++;
-  m_forwarded[call] = Forwarded{request, first, TeamId(), false, wait_until};
+  m_forwarded_queries[call] = ForwardedQuery{request, first, TeamId(), false, wait_until};
   FindHome(first, call);
 }
 
-void TaskManager::CloseAccept(std::uint64_t submission) {
+void TaskManager::FinishAcceptance(std::uint64_t submission) {
   const auto open = m_submissions.find(submission);
   if (open == m_submissions.end()) return;
   --open->second.open_accepts;
@@ -236,7 +237,8 @@
     const auto task = m_tasks.find(id);
     return task != m_tasks.end() && !task->second.HasOutcome();
   });
-  if (!is_waiting || m_draining || m_context.Now() >= open->second.wait_until) AnswerSubmission(submission, false);
+  if (!is_waiting || m_is_draining || m_context.Now() >= open->second.wait_until)
+    RespondToSubmission(submission, false);
 }
 
 void TaskManager::CancelIncompleteGang(const Submission& submission) {
@@ -247,20 +249,20 @@
 }
 
 void TaskManager::CheckSubmissionsOf(const TaskId& task) {
-  const auto found = m_submissions_of.find(task);
-  if (found == m_submissions_of.end()) return;
+  const auto found = m_submissions_by_task.find(task);
+  if (found == m_submissions_by_task.end()) return;
   const std::set<std::uint64_t> submissions = found->second;
   for (const std::uint64_t submission : submissions) CheckSubmission(submission);
 }
 
-void TaskManager::AnswerSubmission(std::uint64_t call, bool is_timeout) {
+void TaskManager::RespondToSubmission(std::uint64_t call, bool is_timeout) {
   const auto open = m_submissions.find(call);
   if (open == m_submissions.end()) return;
   if (open->second.open_accepts > 0) {
     if (!is_timeout || open->second.request == 0) return;
     if (m_context.Now() < open->second.accept_by) {
       // The wait for outcomes is over, but the answer must say whether the tasks were accepted.
-      return m_context.timers.At(open->second.accept_by, [this, call] { AnswerSubmission(call, true); });
+      return m_context.timers.At(open->second.accept_by, [this, call] { RespondToSubmission(call, true); });
     }
     const RequestId request = open->second.request;
     m_submissions.erase(open);
@@ -270,9 +272,9 @@
   const Submission submission = std::move(open->second);
   m_submissions.erase(open);
   for (const TaskId& id : submission.tasks) {
-    const auto others = m_submissions_of.find(id);
-    if (others != m_submissions_of.end() && others->second.erase(call) > 0 && others->second.empty()) {
-      m_submissions_of.erase(others);
+    const auto others = m_submissions_by_task.find(id);
+    if (others != m_submissions_by_task.end() && others->second.erase(call) > 0 && others->second.empty()) {
+      m_submissions_by_task.erase(others);
     }
   }
   if (submission.refused.size() == submission.tasks.size()) {
@@ -306,17 +308,17 @@
 }
 
 void TaskManager::Drain() {
-  if (std::exchange(m_draining, true)) return;
+  if (std::exchange(m_is_draining, true)) return;
   std::vector<TaskId> waited;
   for (const auto& [task, waiter] : m_waiters) waited.push_back(task);
-  for (const TaskId& task : waited) AnswerWaiters(task);
+  for (const TaskId& task : waited) NotifyWaiters(task);
   std::vector<std::uint64_t> open;
   for (const auto& [call, submission] : m_submissions) open.push_back(call);
   for (const std::uint64_t call : open) CheckSubmission(call);
 }
 
 bool TaskManager::IsQuiet() const {
-  return m_journal.IsIdle() && m_open_holds == 0 && m_submissions.empty() && m_forwarded.empty();
+  return m_journal.IsIdle() && m_open_hold_requests == 0 && m_submissions.empty() && m_forwarded_queries.empty();
 }
 
 HomeTask* TaskManager::Find(const AttemptId& id) {
@@ -340,20 +342,20 @@
 
 void TaskManager::ProbeStarted() {
   const Time now = m_context.Now();
-  for (const TaskId& id : m_started) {
+  for (const TaskId& id : m_started_tasks) {
     HomeTask& task = m_tasks.at(id);
     if (task.phase == HomeTaskPhase::kStarted && now >= task.next_probe) Probe(task);
   }
-  m_context.After(kProbeSweep, [this] { ProbeStarted(); });
+  m_context.After(kProbeSweepInterval, [this] { ProbeStarted(); });
 }
 
 void TaskManager::Probe(HomeTask& task) {
-  task.next_probe = m_context.Now() + kFirstProbe;
+  task.next_probe = m_context.Now() + kFirstProbeDelay;
   const AttemptId id{task.spec.id, task.attempt};
-  constexpr std::int64_t kSilentProbesBeforeLookup = 2;
-  const bool is_owner_silent = ++task.silent_probes > kSilentProbesBeforeLookup;
+  constexpr std::int64_t kUnansweredProbesBeforeLookup = 2;
+  const bool is_owner_unresponsive = ++task.unanswered_probes > kUnansweredProbesBeforeLookup;
   const bool is_owner_known = m_membership.HasRecord(task.owner);
-  if (is_owner_silent || !is_owner_known) FindOwner(id);
+  if (is_owner_unresponsive || !is_owner_known) FindOwner(id);
   if (is_owner_known) m_hooks.send(task.owner, TaskProbe{id, task.upstream, task.epoch});
 }
 
--- a/src/tasks/task_manager.h
+++ b/src/tasks/task_manager.h
@@ -54,7 +54,7 @@
   void OnAdoptRows(const std::vector<Row>& rows);
 
   /// Begins a planned stop: no new tasks are accepted, and those of waiting callers go on.
-  void StopAccepting() { m_closed = true; }
+  void StopAccepting() { m_is_closed = true; }
 
   /// Whether callers wait for outcomes.
   bool HasWaiters() const { return !m_waiters.empty() || !m_submissions.empty(); }
@@ -88,7 +88,7 @@
   };
 
   /// A query that was forwarded to another home entry.
-  struct Forwarded {
+  struct ForwardedQuery {
     RequestId request = 0;
     TaskId task;
     TeamId team;
@@ -101,42 +101,42 @@
   std::optional<Error> CheckAdmission(std::size_t count) const;
   void Accept(TaskSpec spec, std::uint64_t submission);
   void OnAccepted(const TaskId& task, std::uint64_t submission, CommitOutcome outcome);
-  void JoinFirst(const TaskId& first, const TaskId& repeated, std::uint64_t submission);
-  void CloseJoined(const TaskId& first, const std::optional<Error>& refused);
+  void AttachToFirst(const TaskId& first, const TaskId& repeated, std::uint64_t submission);
+  void CloseAttached(const TaskId& first, const std::optional<Error>& refused);
   void ResolveDuplicate(const TaskId& task, std::uint64_t submission);
   void OnDuplicate(std::uint64_t submission, const TaskId& refused, const std::string& digest, const Row& row);
-  void CloseAccept(std::uint64_t submission);
+  void FinishAcceptance(std::uint64_t submission);
   void CheckSubmission(std::uint64_t submission);
-  void AnswerSubmission(std::uint64_t submission, bool is_timeout);
+  void RespondToSubmission(std::uint64_t submission, bool is_timeout);
   void CancelIncompleteGang(const Submission& submission);
   void CheckSubmissionsOf(const TaskId& task);
 
   // Queries.
   void QueryHome(const EntryId& home, std::uint64_t call);
-  void RepeatForwarded(std::uint64_t call);
+  void ScheduleForwardRetry(std::uint64_t call);
   void FindHome(const TaskId& task, std::uint64_t call);
   void AddWaiter(Waiter waiter, Time wait_until);
-  void AnswerWaiters(const TaskId& task);
-  void AnswerWaiter(const Waiter& waiter);
-  void AnswerForwarded(std::uint64_t call, int status, const Error& error);
+  void NotifyWaiters(const TaskId& task);
+  void NotifyWaiter(const Waiter& waiter);
+  void FailForwarded(std::uint64_t call, int status, const Error& error);
   void Cancel(HomeTask& task);
 
   // Placing.
   void DispatchQueue();
   bool DispatchNext(WorkClass work_class);
-  void AskForHold(HomeTask& task);
+  void RequestHold(HomeTask& task);
   void OnHoldTimeout(const AttemptId& id);
   void DispatchGang(const TaskId& member);
   std::vector<HomeTask*> GangMembers(const GangId& gang);
   void CheckGang(const GangId& gang);
   void OnGangMemberEnded(const GangId& gang);
   void AbandonGangHolds(const GangId& gang);
-  void StopGang(const HomeTask& lost);
+  void StopOtherGangMembers(const HomeTask& ended_member);
   void Claim(HomeTask& task);
   void OnClaimed(const AttemptId& id, CommitOutcome outcome);
   void Requeue(HomeTask& task, const std::string& reason);
   void Enqueue(HomeTask& task);
-  void CloseHold(const HomeTask& task);
+  void CloseHoldRequest(const HomeTask& task);
   void ReleaseHoldOf(const HomeTask& task);
 
   // Outcomes.
@@ -146,7 +146,7 @@
   void End(HomeTask& task, TaskEnd end, const EntryId& acknowledge_to);
   void CommitEnd(const AttemptId& id, const EntryId& acknowledge_to);
   void Acknowledge(const EntryId& to, const AttemptId& id);
-  void Retain(const TaskId& task);
+  void RetainOutcome(const TaskId& task);
   void ProbeStarted();
   void Probe(HomeTask& task);
   void FindOwner(const AttemptId& id);
@@ -170,22 +170,23 @@
   TaskQueue m_queue;
   std::map<TaskId, HomeTask> m_tasks;
   std::map<GangId, std::set<TaskId>> m_gangs;
-  std::map<std::string, TaskId> m_idempotent;  ///< row key of an idempotency key to the task of this home
+  std::map<std::string, TaskId> m_task_by_idempotency_key;  ///< row key of an idempotency key to the task of this home
   std::map<std::uint64_t, Submission> m_submissions;
-  std::map<TaskId, std::set<std::uint64_t>> m_submissions_of;
-  std::map<TaskId, std::vector<std::uint64_t>> m_joined;  ///< submissions that repeat one which is being accepted
+  std::map<TaskId, std::set<std::uint64_t>> m_submissions_by_task;
+  std::map<TaskId, std::vector<std::uint64_t>>
+      m_attached_submissions;  ///< submissions that repeat one which is being accepted
   std::multimap<TaskId, Waiter> m_waiters;
-  std::map<std::uint64_t, Forwarded> m_forwarded;
+  std::map<std::uint64_t, ForwardedQuery> m_forwarded_queries;
   std::map<std::uint64_t, std::function<void(bool)>> m_plan_submissions;
-  std::set<TaskId> m_started;  ///< tasks in phase kStarted, for probes
-  std::set<EntryId> m_adopted;
-  std::deque<TaskId> m_retained;
+  std::set<TaskId> m_started_tasks;  ///< tasks in phase kStarted, for probes
+  std::set<EntryId> m_adopted_homes;
+  std::deque<TaskId> m_retained_tasks;
   std::uint64_t m_next_task = 1;
   std::uint64_t m_next_gang = 1;
   std::uint64_t m_next_call = 1;
-  std::size_t m_open_holds = 0;
-  bool m_closed = false;    ///< accepts no tasks
-  bool m_draining = false;  ///< asks for no holds
+  std::size_t m_open_hold_requests = 0;
+  bool m_is_closed = false;    ///< accepts no tasks
+  bool m_is_draining = false;  ///< asks for no holds
 };
 
 }  // namespace jaymast
--- a/src/tasks/task_queries.cc
+++ b/src/tasks/task_queries.cc
@@ -12,7 +12,7 @@
 namespace {
 
 /// A forwarded query is repeated, because its home may die or another entry may take the task over.
-constexpr Duration kForwardRepeat = std::chrono::seconds(1);
+constexpr Duration kForwardRetryInterval = std::chrono::seconds(1);
 
 /// How long a forwarded query may take beyond the time that the caller waits.
 constexpr Duration kForwardMargin = std::chrono::seconds(2);
@@ -29,7 +29,7 @@
   const auto found = m_tasks.find(id);
   if (found == m_tasks.end()) {
     const std::uint64_t call = m_next_call++;
-    m_forwarded[call] = Forwarded{request, id, team, cancel, wait_until};
+    m_forwarded_queries[call] = ForwardedQuery{request, id, team, cancel, wait_until};
     return FindHome(id, call);
   }
   HomeTask& task = found->second;
@@ -48,48 +48,48 @@
   request.keys.push_back(AdoptKey(home));
   m_table.Read(request, [this, call](const ReadReply& reply) {
     if (!reply.available) {
-      return AnswerForwarded(call, kStatusUnavailable,
-                             Error{ErrorId::kStoreUnavailable, "", "the home entry of the task cannot be found"});
+      return FailForwarded(call, kStatusUnavailable,
+                           Error{ErrorId::kStoreUnavailable, "", "the home entry of the task cannot be found"});
     }
     if (reply.rows.empty()) {
-      return AnswerForwarded(call, kStatusNotFound, Error{ErrorId::kTaskUnknown, "", "no such task"});
+      return FailForwarded(call, kStatusNotFound, Error{ErrorId::kTaskUnknown, "", "no such task"});
     }
     const EntryId adopter(reply.rows.front().value);
-    if (!m_membership.HasRecord(adopter)) return RepeatForwarded(call);
+    if (!m_membership.HasRecord(adopter)) return ScheduleForwardRetry(call);
     QueryHome(adopter, call);
   });
 }
 
 void TaskManager::QueryHome(const EntryId& home, std::uint64_t call) {
-  const auto found = m_forwarded.find(call);
-  if (found == m_forwarded.end()) return;
-  const Forwarded& query = found->second;
+  const auto found = m_forwarded_queries.find(call);
+  if (found == m_forwarded_queries.end()) return;
+  const ForwardedQuery& query = found->second;
   if (home == m_context.self) {
     // The journal of a home that was taken over may still be on its way.
-    if (!m_tasks.contains(query.task)) return RepeatForwarded(call);
-    const Forwarded local = query;
-    m_forwarded.erase(found);
+    if (!m_tasks.contains(query.task)) return ScheduleForwardRetry(call);
+    const ForwardedQuery local = query;
+    m_forwarded_queries.erase(found);
     return Query(local.request, local.team, local.task, local.cancel, local.wait_until);
   }
   const Duration wait = std::max(query.wait_until - m_context.Now(), Duration{0});
   m_hooks.send(home, TaskQuery{call, query.task, query.team, query.cancel, ToMillis(wait)});
-  RepeatForwarded(call);
+  ScheduleForwardRetry(call);
 }
 
-void TaskManager::RepeatForwarded(std::uint64_t call) {
-  m_context.After(kForwardRepeat, [this, call] {
-    const auto found = m_forwarded.find(call);
-    if (found == m_forwarded.end()) return;
+void TaskManager::ScheduleForwardRetry(std::uint64_t call) {
+  m_context.After(kForwardRetryInterval, [this, call] {
+    const auto found = m_forwarded_queries.find(call);
+    if (found == m_forwarded_queries.end()) return;
     if (m_context.Now() < found->second.wait_until + kForwardMargin) return FindHome(found->second.task, call);
-    AnswerForwarded(call, kStatusUnavailable, Error{ErrorId::kNotServing, "", "the home entry did not answer"});
+    FailForwarded(call, kStatusUnavailable, Error{ErrorId::kNotServing, "", "the home entry did not answer"});
   });
 }
 
-void TaskManager::AnswerForwarded(std::uint64_t call, int status, const Error& error) {
-  const auto found = m_forwarded.find(call);
-  if (found == m_forwarded.end()) return;
+void TaskManager::FailForwarded(std::uint64_t call, int status, const Error& error) {
+  const auto found = m_forwarded_queries.find(call);
+  if (found == m_forwarded_queries.end()) return;
   const RequestId request = found->second.request;
-  m_forwarded.erase(found);
+  m_forwarded_queries.erase(found);
   Response response;
   response.status = status;
   response.verdict = status == kStatusNotFound ? Verdict::kNotRun : Verdict::kMayHaveRun;
@@ -114,12 +114,12 @@
 
 void TaskManager::OnQueryReply(const TaskQueryReply& reply) {
   if (reply.error != ErrorId::kNone) {
-    return AnswerForwarded(reply.call, static_cast<int>(reply.status), Error{reply.error, "", reply.body});
+    return FailForwarded(reply.call, static_cast<int>(reply.status), Error{reply.error, "", reply.body});
   }
-  const auto found = m_forwarded.find(reply.call);
-  if (found == m_forwarded.end()) return;
+  const auto found = m_forwarded_queries.find(reply.call);
+  if (found == m_forwarded_queries.end()) return;
   const RequestId request = found->second.request;
-  m_forwarded.erase(found);
+  m_forwarded_queries.erase(found);
   Response response;
   response.status = static_cast<int>(reply.status);
   response.verdict = reply.verdict;
@@ -129,8 +129,8 @@
 
 void TaskManager::AddWaiter(Waiter waiter, Time wait_until) {
   const HomeTask& task = m_tasks.at(waiter.task);
-  const bool is_due = task.HasOutcome() || m_draining || m_context.Now() >= wait_until;
-  if (is_due) return AnswerWaiter(waiter);
+  const bool is_due = task.HasOutcome() || m_is_draining || m_context.Now() >= wait_until;
+  if (is_due) return NotifyWaiter(waiter);
   const auto range = m_waiters.equal_range(waiter.task);
   const bool is_repeated = std::any_of(range.first, range.second, [&waiter](const auto& known) {
     return known.second.peer == waiter.peer && known.second.call == waiter.call &&
@@ -145,20 +145,20 @@
       const bool is_same = other.request == waiter.request && other.peer == waiter.peer && other.call == waiter.call;
       if (!is_same) continue;
       m_waiters.erase(found);
-      return AnswerWaiter(waiter);
+      return NotifyWaiter(waiter);
     }
   });
 }
 
-void TaskManager::AnswerWaiters(const TaskId& task) {
+void TaskManager::NotifyWaiters(const TaskId& task) {
   const auto range = m_waiters.equal_range(task);
   std::vector<Waiter> waiters;
   for (auto found = range.first; found != range.second; ++found) waiters.push_back(found->second);
   m_waiters.erase(range.first, range.second);
-  for (const Waiter& waiter : waiters) AnswerWaiter(waiter);
+  for (const Waiter& waiter : waiters) NotifyWaiter(waiter);
 }
 
-void TaskManager::AnswerWaiter(const Waiter& waiter) {
+void TaskManager::NotifyWaiter(const Waiter& waiter) {
   const auto task = m_tasks.find(waiter.task);
   if (task == m_tasks.end()) return;
   const bool has_ended = task->second.HasOutcome();
@@ -182,7 +182,7 @@
 void TaskManager::OnRequestGone(RequestId request) {
   std::erase_if(m_waiters,
                 [request](const auto& item) { return item.second.peer.empty() && item.second.request == request; });
-  std::erase_if(m_forwarded, [request](const auto& item) { return item.second.request == request; });
+  std::erase_if(m_forwarded_queries, [request](const auto& item) { return item.second.request == request; });
 }
 
 }  // namespace jaymast
