--- a/src/instance/cell_fault_schedule_test.cc
+++ b/src/instance/cell_fault_schedule_test.cc
@@ -11,10 +11,10 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Random schedules of faults. Each seed is one schedule, the same in every run.
+/// Runs a random fault schedule that the seed determines.
 class FaultScheduleTest : public testing::TestWithParam<unsigned> {};
 
-// Guards against double runs, overcommitted upstreams, lost jobs and unanswered calls under combined faults.
+// Guards against duplicate runs, overcommitted upstreams, lost jobs and calls without a response under combined faults.
 TEST_P(FaultScheduleTest, GuaranteesHold) {
   constexpr int kInstances = 4;
   constexpr int kUpstreams = 6;
@@ -86,8 +86,9 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, FaultScheduleTest, testing::Range(1U, 41U));
 
-// 106, 168: ends of a new life of an upstream were acknowledged unseen. 1390: a start left a process that had stood
-// still. 1972: the same with a repeated start. 1998 to 2000: unseen ends after a silence of the upstream.
+// 106, 168: ends of a new incarnation of an upstream were acknowledged without being processed. 1390: a process that
+// had been frozen sent an outdated start. 1972: the same with a repeated start. 1998 to 2000: ends were missed while
+// the upstream was unreachable.
 INSTANTIATE_TEST_SUITE_P(Regressions, FaultScheduleTest,
                          testing::Values(106U, 168U, 1390U, 1972U, 1998U, 1999U, 2000U));
 
--- a/src/instance/cell_instance.cc
+++ b/src/instance/cell_instance.cc
@@ -9,38 +9,37 @@
 namespace jaymast {
 namespace {
 
-/// The leader shows its progress to each follower this often.
 constexpr Duration kHeartbeatInterval{150'000};
-/// With many followers beats are rarer, so that their cost for the leader is bounded: 160 a second.
+/// The interval grows with the number of followers, which bounds the leader's load to 160 heartbeats a second.
 constexpr Duration kHeartbeatIntervalPerFollower{6'250};
 constexpr Duration kHeartbeatTimeout{500'000};
-/// A longer gap is no pause between beats but a silence.
+/// A longer gap counts as missing heartbeats, not as the interval between them.
 constexpr Duration kMaxHeartbeatGap{300'000};
-/// A follower that has not heard of its leader for this time announces itself again.
+/// A follower without contact to its leader for this time announces itself again.
 constexpr Duration kAnnouncementInterval{300'000};
-/// A follower that did not answer for this time makes no policy calls.
+/// A follower that has not responded for this time gets no policy calls.
 constexpr Duration kFollowerTimeout{1'200'000};
-/// An instance that has not heard of a leader for this time sends its clients elsewhere.
+/// An instance without contact to a leader for this time reports itself as not ready.
 constexpr Duration kReadyLeaderTimeout{800'000};
-/// A leader that has written nothing for this time can't accept work; above two transactions of a slow store.
+/// A leader that has committed nothing for this time can't accept work. Longer than two transactions of a slow store.
 constexpr Duration kReadyStoreTimeout{1'200'000};
-/// Calls are passed to a leader that has been heard of within this time, or within some of its beats where these are
-/// rarer. Of a call that is sent into a cut nobody can tell whether it ran.
+/// Calls are relayed only to a leader with contact within this time, or within `kMissedHeartbeats` intervals if longer:
+/// whether a call sent into a network partition has run can't be known.
 constexpr Duration kLeaderTimeout{500'000};
 constexpr std::int64_t kMissedHeartbeats = 3;
-/// A client's call is answered at the latest after this time, unless the client tells how long it waits.
+/// Time-out of a client that states none.
 constexpr std::int64_t kDefaultClientTimeoutMs = 3000;
-/// The answer must reach the client before it gives up. A call takes about 25 ms, so a short patience is not used up by
-/// the margin.
+/// The response must reach the client before its timeout. A call takes about 25 ms, so the margin is limited for short
+/// timeouts.
 constexpr std::int64_t kResponseMarginMs = 120;
-constexpr std::int64_t kMarginDivisor = 4;  ///< the margin is at most this part of the patience
-/// Calls of an ended term have deadlines below this time.
+constexpr std::int64_t kMarginDivisor = 4;  ///< the margin is at most the timeout divided by this
+/// No call of an ended term has a later deadline than this.
 constexpr Duration kEndedTermRetention{12'000'000};
-/// Time beyond the expected one that a policy call of another instance may take.
+/// Time allowed beyond the expected duration of a policy call made by another instance.
 constexpr std::int64_t kPolicyMarginMs = 600;
-/// An instance below this processor share leads only if no stronger one does: a leader uses 0.2 cores at 350 upstreams.
+/// An instance with a smaller CPU share leads only if no larger one does: a leader uses 0.2 cores at 350 upstreams.
 constexpr std::int64_t kPreferredLeaderCpuMillis = 200;
-/// A leader yields to a follower with this many times its processor share, but not right after a takeover.
+/// A leader yields to a follower with this many times its CPU share, but not right after a takeover.
 constexpr std::int64_t kYieldCpuFactor = 2;
 constexpr Duration kMinTermBeforeYield{1'500'000};
 constexpr const char* kHeartbeatPath = "/peer/beat";
@@ -59,7 +58,7 @@
 
 }  // namespace
 
-/// Routes the leader's policy calls to this instance or to another one.
+/// Routes the leader's policy calls through this instance or another one.
 class CellInstance::PolicyRouter : public PolicyPort {
  public:
   explicit PolicyRouter(CellInstance& instance) : m_instance(instance) {}
@@ -107,7 +106,7 @@
     if (now >= m_next_heartbeat_at) SendHeartbeats();
     YieldToLargerInstance();
     m_relay.SetLeader(true, "", m_term->journal().epoch(), now);
-    // After the term the next leader has as much time to be heard as the last one had.
+    // Keeps the remaining contact time for the leader that follows this term.
     m_leader_unreachable_at += now - m_last_leader_contact_at;
     m_last_leader_contact_at = now;
   } else {
@@ -155,7 +154,7 @@
   const std::int64_t timeout_ms = stated_ms > 0 ? stated_ms : kDefaultClientTimeoutMs;
   const std::int64_t margin_ms = std::min(kResponseMarginMs, timeout_ms / kMarginDivisor);
   const Time deadline = m_now + std::chrono::milliseconds(std::max<std::int64_t>(1, timeout_ms - margin_ms));
-  // Unique over instances and restarts, as no two processes with one address start in the same microsecond.
+  // Unique across instances and restarts: no two processes with one address start in the same microsecond.
   request.headers.emplace_back(
       kCallIdHeader, m_address + "-" + std::to_string(ToMicros(m_started_at)) + "-" + std::to_string(++m_call_count));
   m_relay.OnCall(std::move(request), m_now, deadline, std::move(done));
@@ -299,7 +298,7 @@
 }
 
 std::string CellInstance::ChooseSuccessor() const {
-  // The follower that joined last is the least likely to be restarted next in a rolling restart.
+  // In a rolling restart, the follower that joined last is the least likely to restart next.
   std::string best;
   std::pair<std::int64_t, Time> best_key{};
   for (const auto& [address, follower] : m_followers) {
@@ -321,7 +320,7 @@
 
 bool CellInstance::is_ready() const {
   if (m_is_stopping) return false;
-  // A leader that is cut off from the store may be cut off together with some followers.
+  // A leader partitioned from the store may still reach followers on its side, so contact alone is not enough.
   if (m_term != nullptr) return !m_term->journal().IsStalled(m_now, kReadyStoreTimeout);
   return m_now - m_last_leader_contact_at < kReadyLeaderTimeout &&
          m_now - m_leader_version_changed_at < kReadyStoreTimeout;
--- a/src/instance/cell_instance.h
+++ b/src/instance/cell_instance.h
@@ -19,36 +19,38 @@
 
 namespace jaymast {
 
-/// Translates between HTTP messages and calls of clients.
+/// Decodes client calls from HTTP requests and encodes their results as HTTP responses.
 class ClientCodec {
  public:
   virtual ~ClientCodec() = default;
   virtual ClientCall Decode(const HttpRequest& request) const = 0;
   virtual HttpResponse Encode(const ClientCall& call, const ClientReply& reply) const = 0;
-  /// How long the client waits, in ms; 0 when it does not tell.
+  /// Time-out of the client in ms, or 0 if the request states none.
   virtual std::int64_t ClientTimeoutMs(const HttpRequest& request) const = 0;
-  /// Answer for a call without a result.
+  /// Response to a call that produced no result.
+  /// @param may_have_run whether the leader may have received the call
   virtual HttpResponse EncodeFailure(bool may_have_run) const = 0;
 };
 
-/// Sends a message to another instance. `done` gets a null pointer when there is no answer.
+/// Result of a request to another instance.
 struct PeerResult {
-  bool is_answered = false;
-  bool was_sent = true;
+  bool is_answered = false;  ///< `response` is set
+  bool was_sent = true;      ///< false if nothing was sent
   HttpResponse response;
 };
+/// Sends a request to another instance. `done` is called once.
 using PeerSend =
     std::function<void(const std::string& address, HttpRequest, Time deadline, std::function<void(PeerResult)> done)>;
 
-/// One entry instance: relays its clients' calls to the leader, makes policy calls for it, and leads when it must.
+/// Serves clients by relaying their calls to the leader, makes policy calls for the leader, and leads when elected.
 ///
-/// All calls run on one thread.
+/// Not thread-safe: all members are called on one thread.
 class CellInstance {
  public:
   struct Ports {
     StateStore& store;
     UpstreamPort& upstreams;
-    PolicyPort& policy;  ///< of this instance
+    PolicyPort& policy;  ///< connection of this instance to the policy service
     CellEventSink& events;
     const ClientCodec& codec;
     PeerSend send_peer;
@@ -57,24 +59,26 @@
   };
 
   /// @param address peer address of this instance
-  /// @param cpu_millis processor share of this instance in thousandths of a core
+  /// @param cpu_millis CPU share of this instance in thousandths of a core
+  /// @param rank staggers the takeover attempts of the instances
   CellInstance(Ports ports, std::string address, std::int64_t cpu_millis, std::uint64_t rank, Time now);
   ~CellInstance();
 
   void OnTick(Time now, std::int64_t unix_now_ms);
-  /// A call of a client; `done` is called once.
+  /// Handles a client call. `done` is called once, by the client's deadline.
   void OnClientRequest(HttpRequest request, std::function<void(HttpResponse)> done);
-  /// A message of another instance; `done` is called once.
+  /// Handles a request of another instance. `done` is called once.
   void OnPeerRequest(const HttpRequest& request, const std::function<void(HttpResponse)>& done);
-  /// Leaves: hands the term over, and goes on to relay.
+  /// Hands over the leadership, if any, and never takes it again. Calls are still relayed.
   void BeginStop();
 
   bool is_ready() const;
+  /// Whether shutdown has begun and this instance no longer leads.
   bool can_exit() const;
   bool is_leader() const { return m_term != nullptr; }
   const CellTerm* term() const { return m_term.get(); }
   std::size_t open_calls() const { return m_relay.open_calls(); }
-  /// Values of this moment by the name under which metrics show them.
+  /// Current gauge values by metric name.
   std::map<std::string, double> Gauges() const;
 
  private:
@@ -82,7 +86,7 @@
   struct Follower {
     Time last_contact_at{};
     std::int64_t cpu_millis = 0;
-    Time joined_at{};  ///< when its process began to follow this leader
+    Time joined_at{};  ///< first join announcement to this leader
     bool is_heartbeat_pending = false;
   };
 
@@ -110,15 +114,15 @@
   Leadership m_leadership;
   std::unique_ptr<PolicyRouter> m_policy_router;
   std::unique_ptr<CellTerm> m_term;
-  std::vector<std::pair<Time, std::unique_ptr<CellTerm>>> m_ended_terms;  ///< open calls still refer to them
+  std::vector<std::pair<Time, std::unique_ptr<CellTerm>>> m_ended_terms;  ///< kept while open calls may refer to them
   bool m_is_deposed = false;
   std::map<std::string, Follower> m_followers;
   Time m_term_began_at{};
   Time m_next_heartbeat_at{};
   Time m_next_announcement_at{};
   Time m_last_leader_contact_at{};
-  Time m_leader_unreachable_at;        ///< calls are not passed to the leader from then on, unless it is heard before
-  Time m_leader_version_changed_at{};  ///< when the row of the leader was first seen with its present version
+  Time m_leader_unreachable_at;        ///< calls are withheld from then on unless the leader makes contact before
+  Time m_leader_version_changed_at{};  ///< when the current row version was first reported
   std::int64_t m_leader_version = 0;
   bool m_is_stopping = false;
   std::string m_successor;
--- a/src/instance/cell_jobs_test.cc
+++ b/src/instance/cell_jobs_test.cc
@@ -11,8 +11,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Guards against a path from acceptance to completion that is broken somewhere.
-TEST(CellJobsTest, JobSentToAFollowerRunsAndIsShown) {
+// Guards against a broken path from submission at a follower to completion.
+TEST(CellJobsTest, JobSubmittedToFollowerCompletes) {
   CellWorld world(3, 4);
   world.Run(seconds(2));
   ASSERT_GE(world.Leader(), 0);
@@ -25,8 +25,8 @@
   ExpectNoViolation(world);
 }
 
-// Guards against a margin that leaves no time to a call that comes at the end of its client's patience.
-TEST(CellJobsTest, CallOfAnImpatientClientIsServed) {
+// Guards against a response margin that uses up a short client timeout.
+TEST(CellJobsTest, CallWithShortTimeoutIsServed) {
   CellWorld world(3, 4);
   world.Run(seconds(2));
   world.Call(AnyFollower(world), "POST", "job1", "tasks=1", "key", 80);
@@ -34,8 +34,8 @@
   EXPECT_EQ(world.LastStatus("POST job1"), kAccepted);
 }
 
-// Guards against policy tickets that are not asked for or not used.
-TEST(CellJobsTest, QueueWithPolicyStartsWithTickets) {
+// Guards against policy tickets that are not requested or not used.
+TEST(CellJobsTest, QueueWithPolicyStartsTasksWithTickets) {
   CellWorld world(3, 6);
   world.config->queues.front().policy = PolicyConfig{20, 1, 2000};
   world.Run(seconds(2));
@@ -45,8 +45,8 @@
   EXPECT_EQ(StateOf(world, 0, "job1"), "completed");
 }
 
-// Guards against members that work several times as long because they were spread over racks.
-TEST(CellJobsTest, GangThatNeedsOneRackIsKeptOnIt) {
+// Guards against gang members that run several times as long because they are spread over racks.
+TEST(CellJobsTest, SameRackGangIsPlacedOnOneRack) {
   CellWorld world(1, 6);
   world.Run(seconds(2));
   world.Call(0, "POST", "job1", "tasks=1 cpu=5000 ms=4000");
@@ -62,8 +62,8 @@
   EXPECT_EQ(StateOf(world, 0, "job2"), "completed");
 }
 
-// Guards against an assumed lease that each unanswered call extends, so that lost work never comes back.
-TEST(CellJobsTest, WorkOfACrashedUpstreamRunsAgainAfterItsLease) {
+// Guards against an assumed lease that each failed call extends, so that lost tasks are never restarted.
+TEST(CellJobsTest, TasksOfCrashedUpstreamRestartAfterItsLease) {
   CellWorld world(2, 2);
   world.Run(seconds(2));
   world.Call(0, "POST", "job1", "tasks=2 cpu=5000 ms=3000");
@@ -76,8 +76,8 @@
   ExpectNoViolation(world);
 }
 
-// Guards against a second run while the first goes on behind a cut.
-TEST(CellJobsTest, WorkBehindAShortCutIsNotRepeated) {
+// Guards against a second run while the first continues behind a network partition.
+TEST(CellJobsTest, TasksBehindShortPartitionAreNotRestarted) {
   CellWorld world(2, 2);
   world.Run(seconds(2));
   world.Call(0, "POST", "job1", "tasks=2 cpu=5000 ms=3000");
@@ -91,8 +91,8 @@
   ExpectNoViolation(world);
 }
 
-// Guards against a repeated order that starts a second run, and against one that is given up though it was received.
-TEST(CellJobsTest, StartsWithoutAnAnswerAreRepeatedOrFenced) {
+// Guards against a repeated start order that causes a second run, and an abandoned one that was received.
+TEST(CellJobsTest, StartsWithoutReplyAreRetriedOrFenced) {
   CellWorld world(2, 3);
   world.Run(seconds(2));
   int lost = 0;
@@ -104,8 +104,8 @@
   ExpectNoViolation(world);
 }
 
-// Guards against an order that is carried out seconds later, after its task was placed elsewhere.
-TEST(CellJobsTest, LateOrdersDoNotStartASecondRun) {
+// Guards against a start order that is executed seconds late, after its task was placed elsewhere.
+TEST(CellJobsTest, DelayedStartOrdersCauseNoSecondRun) {
   CellWorld world(2, 3);
   world.Run(seconds(2));
   world.start_delay = [](const StartOrder& order) {
@@ -117,8 +117,8 @@
   ExpectNoViolation(world);
 }
 
-// Guards against a refused member that leaves the others of its gang waiting.
-TEST(CellJobsTest, GangWithARefusedMemberStartsAgainAsAWhole) {
+// Guards against a gang that waits forever for a member whose start was refused.
+TEST(CellJobsTest, GangWithRefusedMemberRestartsAsAWhole) {
   CellWorld world(1, 4, 2000);
   world.Run(seconds(2));
   world.refuses_start = [](const StartOrder& order) {
@@ -131,8 +131,8 @@
   ExpectNoViolation(world);
 }
 
-// Guards against endless runs of a job that can never be done.
-TEST(CellJobsTest, JobFailsAfterItsAttempts) {
+// Guards against unlimited retries of a job that always fails.
+TEST(CellJobsTest, JobFailsAfterMaxAttempts) {
   CellWorld world(2, 3);
   world.Run(seconds(2));
   world.Call(0, "POST", "job1", "tasks=1 ms=200 fails");
@@ -141,8 +141,8 @@
   EXPECT_EQ(world.record.starts.begin()->second, 3);
 }
 
-// Guards against tasks of a cancelled job that go on or start later.
-TEST(CellJobsTest, CancelledJobStops) {
+// Guards against tasks of a cancelled job that keep running or start later.
+TEST(CellJobsTest, CancelledJobStopsItsTasks) {
   CellWorld world(2, 1, 2000);
   world.Run(seconds(2));
   world.Call(0, "POST", "job1", "tasks=4 cpu=1000 ms=5000");
@@ -156,7 +156,7 @@
 }
 
 // Guards against starts beyond the limit of an organisation.
-TEST(CellJobsTest, OrganisationStaysBelowItsLimit) {
+TEST(CellJobsTest, OrganisationLimitIsEnforced) {
   CellWorld world(1, 4);
   world.config->teams[TeamId("team")].limit.cpu_millis = 3000;
   world.Run(seconds(2));
@@ -169,8 +169,8 @@
   EXPECT_EQ(StateOf(world, 0, "job1"), "completed");
 }
 
-// Guards against starts on draining upstreams and in failure domains that are out.
-TEST(CellJobsTest, DrainingAndEvacuatedUpstreamsGetNoWork) {
+// Guards against starts on draining upstreams and in failure domains that are out of service.
+TEST(CellJobsTest, DrainingAndEvacuatedUpstreamsGetNoTasks) {
   CellWorld world(1, 3);
   world.fleet[0]->listing().is_draining = true;
   world.domains_out.insert(world.fleet[1]->listing().domain);
@@ -185,8 +185,8 @@
   EXPECT_EQ(world.record.starts.size(), 6U);
 }
 
-// Guards against an accepted job whose client is told that its key is unknown, because the key was revoked in between.
-TEST(CellJobsTest, CopyOfAnAcceptedCallIsAnsweredAlike) {
+// Guards against an "unknown key" response to a retry of an accepted call whose key was revoked in between.
+TEST(CellJobsTest, RetryOfAcceptedCallGetsSameResponse) {
   CellWorld world(2, 2);
   world.Run(seconds(2));
   const int leader = world.Leader();
@@ -203,8 +203,8 @@
   EXPECT_EQ(world.LastStatus("POST job2"), kUnknownKey);
 }
 
-// Guards against a wrong "no such job" by an instance that is not sure to lead.
-TEST(CellJobsTest, UnknownJobIsDeniedOnlyByAConfirmedLeader) {
+// Guards against a wrong "no such job" from an instance that can't confirm its leadership.
+TEST(CellJobsTest, OnlyConfirmedLeaderReportsUnknownJob) {
   CellWorld world(2, 2);
   world.Run(seconds(2));
   world.Call(0, "GET", "nothing");
--- a/src/instance/cell_metrics.cc
+++ b/src/instance/cell_metrics.cc
@@ -12,11 +12,10 @@
 namespace jaymast {
 namespace {
 
-/// Reasons of one event that are told apart; further ones are counted together.
+/// Further reasons are counted as `kOtherReason`, which bounds the label cardinality.
 constexpr std::size_t kMaxReasonsPerEvent = 20;
 constexpr std::string_view kOtherReason = "other";
 
-/// Name of the field that tells how long something took.
 constexpr std::string_view kElapsedField = "after_ms";
 constexpr std::string_view kReasonField = "reason";
 
--- a/src/instance/cell_metrics_test.cc
+++ b/src/instance/cell_metrics_test.cc
@@ -13,8 +13,8 @@
   int lines = 0;
 };
 
-// Guards against figures that on-call engineers can't relate to the events of the log.
-TEST(CellMetricsTest, EventsAreCountedByReasonAndTime) {
+// Guards against metrics that don't match the events in the log.
+TEST(CellMetricsTest, EventsAreCountedByReasonAndDuration) {
   CountingLog log;
   CellMetrics metrics(log);
   metrics.Emit("job.refused", {{"job", "a"}, {"reason", "store does not answer"}});
@@ -31,8 +31,8 @@
   EXPECT_EQ(log.lines, 4);
 }
 
-// Guards against memory that grows with the texts of one field.
-TEST(CellMetricsTest, ManyReasonsAreCountedTogether) {
+// Guards against unbounded memory and label cardinality from free-text reasons.
+TEST(CellMetricsTest, ExcessReasonsAreCountedAsOther) {
   CountingLog log;
   CellMetrics metrics(log);
   for (int i = 0; i < 1'000; ++i) metrics.Emit("start.refused", {{"reason", "reason " + std::to_string(i)}});
--- a/src/instance/cell_takeover_test.cc
+++ b/src/instance/cell_takeover_test.cc
@@ -10,7 +10,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// A leader in a world whose store is slow for it.
+/// Makes the store slow for the leader and returns the leader's index.
 int LeaderWithSlowStore(CellWorld& world) {
   world.Run(seconds(2));
   const int leader = world.Leader();
@@ -33,8 +33,8 @@
   for (int i = 0; i < jobs; ++i) EXPECT_EQ(StateOf(world, 0, "job" + std::to_string(i)), "completed") << i;
 }
 
-// Guards against calls that are sent into a cut, so that nobody can tell whether they ran.
-TEST(CellTakeoverTest, CallOfAnInstanceThatWasCutOffDidNotRun) {
+// Guards against calls that are sent into a network partition, where their outcome is unknown.
+TEST(CellTakeoverTest, CallToPartitionedInstanceIsReportedAsNotRun) {
   CellWorld world(3, 4);
   world.Run(seconds(2));
   const int follower = AnyFollower(world);
@@ -46,8 +46,8 @@
   EXPECT_EQ(world.LastStatus("POST job1"), FakeClientCodec::kNotRun);
 }
 
-// Guards against two leaders that both accept, and against accepted jobs that are lost with the leader.
-TEST(CellTakeoverTest, AcceptedJobsSurviveTheLossOfTheLeader) {
+// Guards against two leaders that both accept jobs, and accepted jobs that are lost with the leader.
+TEST(CellTakeoverTest, AcceptedJobsSurviveLeaderCrash) {
   CellWorld world(3, 4);
   world.Run(seconds(2));
   const int leader = world.Leader();
@@ -64,7 +64,7 @@
   ExpectNoViolation(world);
 }
 
-// Guards against a takeover that takes longer than needed when nobody listens at the address of the leader.
+// Guards against waiting for the full takeover timeout when connections to the leader are refused.
 TEST(CellTakeoverTest, KilledLeaderIsReplacedWithinOneSecond) {
   CellWorld world(3, 2);
   world.Run(seconds(2));
@@ -73,8 +73,8 @@
   EXPECT_GE(world.Leader(), 0);
 }
 
-// Guards against waiting for the silence of a leader that every instance knows to be gone.
-TEST(CellTakeoverTest, RestartOfAllInstancesTakesOverAtOnce) {
+// Guards against waiting for the timeout of a leader that no longer exists after a full restart.
+TEST(CellTakeoverTest, LeaderIsElectedAtOnceAfterFullRestart) {
   CellWorld world(3, 2);
   world.Run(seconds(2));
   for (int i = 0; i < 3; ++i) world.Kill(i);
@@ -84,8 +84,8 @@
   EXPECT_GE(world.Leader(), 0);
 }
 
-// Guards against a leader that can't write and still keeps its followers waiting.
-TEST(CellTakeoverTest, LeaderWithoutTheStoreIsReplaced) {
+// Guards against a leader that can't write to the store but stays leader through its heartbeats.
+TEST(CellTakeoverTest, LeaderWithoutStoreIsReplaced) {
   CellWorld world(3, 2);
   world.Run(seconds(2));
   const int leader = world.Leader();
@@ -95,9 +95,9 @@
   EXPECT_GE(world.Leader(), 0);
 }
 
-// Guards against clients that are kept in a failure domain that can't serve them: its instances hear each other, but
-// neither the store nor the new leader.
-TEST(CellTakeoverTest, InstancesCutOffWithTheirLeaderAreNotReady) {
+// Guards against clients that are kept in a partitioned failure domain: its instances reach each other, but neither the
+// store nor the new leader.
+TEST(CellTakeoverTest, InstancesPartitionedWithTheirLeaderAreNotReady) {
   CellWorld world(4, 2);
   world.Run(seconds(2));
   const int leader = world.Leader();
@@ -121,7 +121,7 @@
   for (int i = 0; i < 4; ++i) EXPECT_TRUE(world.At(i).cell->is_ready()) << i;
 }
 
-// Guards against instances that leave the rotation of clients because the store is slow.
+// Guards against instances that report themselves as not ready because the store is slow.
 TEST(CellTakeoverTest, SlowStoreKeepsInstancesReady) {
   CellWorld world(3, 2);
   world.Run(seconds(2));
@@ -132,8 +132,8 @@
   }
 }
 
-// Guards against a takeover during an outage of the store, and against work that is dropped in one.
-TEST(CellTakeoverTest, OutageOfTheStoreKeepsTheLeaderAndTheRunningWork) {
+// Guards against a takeover or dropped tasks during a store outage.
+TEST(CellTakeoverTest, StoreOutageKeepsLeaderAndRunningTasks) {
   CellWorld world(3, 2);
   world.Run(seconds(2));
   const int leader = world.Leader();
@@ -144,7 +144,7 @@
   EXPECT_EQ(world.Leader(), leader);
   world.Call(0, "POST", "job2", "tasks=1");
   world.Run(milliseconds(50));
-  EXPECT_EQ(world.LastStatus("POST job2"), static_cast<int>(ClientOutcome::kUnavailable)) << "known at arrival";
+  EXPECT_EQ(world.LastStatus("POST job2"), static_cast<int>(ClientOutcome::kUnavailable)) << "refused on arrival";
   for (int i = 0; i < 3; ++i) world.At(i).store->fault = StoreFault::kNone;
   world.Run(seconds(3));
   EXPECT_EQ(StateOf(world, 0, "job1"), "completed");
@@ -152,8 +152,8 @@
   ExpectNoViolation(world);
 }
 
-// Guards against more rows than a slow store takes: 90 in a transaction, and 2.5 transactions a second.
-TEST(CellTakeoverTest, SlowStoreTakesABurstOfJobs) {
+// Guards against exceeding a slow store: it takes 90 rows a transaction and 2.5 transactions a second.
+TEST(CellTakeoverTest, SlowStoreHandlesBurstOfJobs) {
   constexpr int kJobs = 240;
   CellWorld world(2, 12);
   const int leader = LeaderWithSlowStore(world);
@@ -164,13 +164,13 @@
   ExpectAllCompleted(world, kJobs);
 }
 
-// Guards against a limit on the jobs that one transaction can carry.
-TEST(CellTakeoverTest, SlowStoreTakesTwoHundredJobsASecond) {
+// Guards against a low limit on the number of jobs in one transaction.
+TEST(CellTakeoverTest, SlowStoreHandles200JobsPerSecond) {
   constexpr int kJobs = 800;
   CellWorld world(2, 40);
   const int leader = LeaderWithSlowStore(world);
   SubmitSteadily(world, leader, kJobs, "tasks=1 cpu=100 ms=300", milliseconds(5));
-  // Two transactions for the acceptance; the last job has a transaction each for its assignment and its end.
+  // Acceptance takes two transactions; assignment and end of the last job take one each.
   world.Run(milliseconds(800));
   ExpectAllAccepted(world, kJobs);
   world.Run(milliseconds(1700));
@@ -178,8 +178,8 @@
   ExpectAllCompleted(world, kJobs);
 }
 
-// Guards against a second transaction that is sent before it is certain what became of the first.
-TEST(CellTakeoverTest, LostAnswersOfTheStoreAreSettled) {
+// Guards against a second transaction that is sent before the outcome of the first is known.
+TEST(CellTakeoverTest, LostStoreRepliesAreResolved) {
   CellWorld world(2, 2);
   world.Run(seconds(2));
   const int leader = world.Leader();
@@ -193,8 +193,8 @@
   ExpectNoViolation(world);
 }
 
-// Guards against a deposed leader that goes on to order.
-TEST(CellTakeoverTest, FrozenLeaderIsFencedWhenItWakes) {
+// Guards against a deposed leader that keeps sending orders.
+TEST(CellTakeoverTest, FrozenLeaderIsFencedWhenItResumes) {
   CellWorld world(3, 3);
   world.Run(seconds(2));
   const int leader = world.Leader();
@@ -210,8 +210,8 @@
   ExpectNoViolation(world);
 }
 
-// Guards against a planned stop that interrupts calls or takes a silence to replace the leader.
-TEST(CellTakeoverTest, StoppingLeaderHandsOverAtOnce) {
+// Guards against a planned shutdown that interrupts calls or needs a timeout to replace the leader.
+TEST(CellTakeoverTest, StoppingLeaderHandsOverImmediately) {
   CellWorld world(3, 2);
   world.Run(seconds(2));
   const int leader = world.Leader();
--- a/src/instance/cell_term.cc
+++ b/src/instance/cell_term.cc
@@ -8,11 +8,10 @@
 namespace jaymast {
 namespace {
 
-/// Pause before a failed read of the recorded jobs is repeated.
 constexpr Duration kLoadRetryDelay{50'000};
-/// While the store is silent for this time, another instance may be about to take over.
+/// If the store has not responded for this time, another instance may be about to take over.
 constexpr Duration kStoreStallThreshold{350'000};
-/// An outage of the store above this time turns new jobs away at once: a takeover would have happened.
+/// In a longer store outage new jobs are refused at once: with a working store another instance would have taken over.
 constexpr Duration kStoreOutageThreshold{1'300'000};
 
 }  // namespace
@@ -88,7 +87,7 @@
   }
   for (const StateRow& row : reply.rows) OnRow(row);
   if (reply.has_more && !reply.rows.empty()) {
-    // The smallest key above the last one.
+    // Continues just above the last key.
     m_next_key = reply.rows.back().key + '\x01';
     return m_request_tick();
   }
--- a/src/instance/cell_term.h
+++ b/src/instance/cell_term.h
@@ -16,21 +16,22 @@
 
 namespace jaymast {
 
-/// One period during which this instance is the leader: loads the recorded jobs, then schedules.
+/// Runs the scheduler for one term as leader, after loading the recorded jobs from the store.
 class CellTerm : public FeedListener {
  public:
   using MakeFeeds = std::function<std::unique_ptr<CellFeeds>(FeedListener&)>;
 
+  /// @param deposed called when another instance has taken over
   CellTerm(StateStore& store, Scheduler::Ports ports, const LeaderRecord& record, std::int64_t version, Time now,
            const MakeFeeds& make_feeds, std::function<void()> request_tick, const std::function<void()>& deposed);
 
   void OnTick(Time now, std::int64_t unix_now_ms);
   void OnClientCall(const ClientCall& call, const ClientReplyFunction& reply);
   void SetAgents(const std::vector<std::string>& addresses) { m_scheduler.SetAgents(addresses); }
-  /// Ends the term after everything accepted so far is in the store.
+  /// Ends the term once everything accepted so far is committed.
   void HandOver(const std::string& successor) { m_journal.HandOver(successor); }
 
-  /// Ignores everything that is still on its way.
+  /// Ignores all replies that are still outstanding.
   void Retire() { m_scheduler.Retire(); }
 
   const Journal& journal() const { return m_journal; }
@@ -46,7 +47,7 @@
   void OnListComplete(const std::set<UpstreamId>& listed) override;
 
  private:
-  /// Newest records of a job in the rows read so far.
+  /// Latest records of a job in the rows read so far.
   struct LoadedJob {
     LogRecord job;
     std::string progress;
@@ -58,7 +59,7 @@
   void AddJob(const JobId& id, const LoadedJob& loaded, std::int64_t store_now_ms);
   void FinishJobs(std::int64_t store_now_ms);
   void CheckLoaded();
-  /// Tells when the store stops to answer and when it answers again.
+  /// Emits an event when the store stops responding and when it responds again.
   void ReportStoreStall();
 
   StateStore& m_store;
--- a/src/instance/peer_codec.h
+++ b/src/instance/peer_codec.h
@@ -10,19 +10,19 @@
 
 namespace jaymast {
 
-/// Shows a follower who leads and that the leader makes progress.
+/// Tells a follower who leads and how far the leader has committed.
 struct Heartbeat {
-  LeaderRecord record;       ///< an empty address tells that the leader has handed over
+  LeaderRecord record;       ///< the address is empty if the leader has handed over
   std::int64_t version = 0;  ///< of the leader row
 };
 
 std::string EncodeHeartbeat(const Heartbeat& heartbeat);
 std::optional<Heartbeat> DecodeHeartbeat(std::string_view text);
 
-/// Announces a follower.
+/// Registers a follower with the leader.
 struct JoinAnnouncement {
   std::string address;          ///< peer address
-  std::int64_t cpu_millis = 0;  ///< processor share of the instance in thousandths of a core
+  std::int64_t cpu_millis = 0;  ///< CPU share of the instance in thousandths of a core
 };
 
 std::string EncodeJoinAnnouncement(const JoinAnnouncement& announcement);
--- a/src/instance/relay.cc
+++ b/src/instance/relay.cc
@@ -6,12 +6,11 @@
 namespace jaymast {
 namespace {
 
-/// Pause before a call is sent again to the same leader.
 constexpr Duration kRetryDelay{80'000};
-/// An attempt without an answer is repeated on another connection after this time: a connection may be silent for good.
+/// An attempt without a response is repeated on another connection, as a broken connection may never report an error.
 constexpr Duration kAttemptTimeout{1'300'000};
-/// Without a leader for this time, calls are refused at once: this instance is cut off. A takeover takes 0.4 to 0.9 s,
-/// and the leader counts as known for another 0.5 s.
+/// Without a leader for this time, this instance is partitioned and refuses calls at once. A takeover takes 0.4 to 0.9
+/// s, and the old leader counts as known for another 0.5 s.
 constexpr Duration kLeaderTimeout{1'300'000};
 
 }  // namespace
@@ -50,7 +49,7 @@
     if (call->is_done) return;
     --call->unresolved_attempts;
     if (result.was_sent && !result.is_undecided) call->may_have_run = true;
-    // A later attempt decides: an earlier leader may refuse what the new one accepts.
+    // Only the latest attempt decides: an earlier leader may refuse what the new one accepts.
     if (attempt != call->attempt) return;
     if (result.is_answered && !result.is_undecided) return Finish(call, std::move(result.response));
     call->is_attempt_pending = false;
@@ -73,7 +72,7 @@
 }
 
 void Relay::FailCall(const CallPtr& call) {
-  // An attempt without a result may have been received, also by an earlier leader.
+  // An attempt without a result may have been received, possibly by an earlier leader.
   const bool may_have_run = call->may_have_run || call->unresolved_attempts > 0;
   Finish(call, m_ports.encode_failure(call->request, m_now - call->received_at, may_have_run));
 }
--- a/src/instance/relay.h
+++ b/src/instance/relay.h
@@ -11,16 +11,16 @@
 
 namespace jaymast {
 
-/// Passes calls of clients to the leader, also across a change of the leader.
+/// Forwards client calls to the leader and retries them across leader changes.
 ///
-/// Submissions, cancellations and reads may be repeated: the leader knows a job by its id.
+/// Retries are safe because submissions, cancellations and reads are idempotent by job id.
 class Relay {
  public:
-  /// Result of one attempt at the leader.
+  /// Result of sending a call to the leader once.
   struct Attempt {
     bool is_answered = false;
-    bool was_sent = true;       ///< the call may have been received
-    bool is_undecided = false;  ///< the instance asked is not the leader, or is not sure
+    bool was_sent = true;       ///< the leader may have received the call
+    bool is_undecided = false;  ///< the receiver is not the leader, or can't confirm that it is
     HttpResponse response;
   };
   struct Ports {
@@ -28,17 +28,18 @@
     std::function<void(const std::string& address, const HttpRequest&, Time deadline,
                        std::function<void(Attempt)> done)>
         send;
-    /// Answer for a call without a result after the time that it has waited.
+    /// Response to a call that got no result within `waited`.
     std::function<HttpResponse(const HttpRequest&, Duration waited, bool may_have_run)> encode_failure;
   };
 
   explicit Relay(Ports ports) : m_ports(std::move(ports)) {}
 
-  /// Takes a call. `done` is called once, at the deadline at the latest.
+  /// Accepts a call. `done` is called once, no later than the first tick after the deadline.
   void OnCall(HttpRequest request, Time now, Time deadline, std::function<void(HttpResponse)> done);
 
-  /// Tells who leads. All open calls are sent again to a new leader.
-  /// @param is_known false while nobody is known to lead
+  /// Sets the current leader. All open calls are sent again to a new leader.
+  /// @param is_known false while no leader is known
+  /// @param address empty if this instance leads
   void SetLeader(bool is_known, const std::string& address, std::uint64_t epoch, Time now);
 
   void OnTick(Time now);
@@ -53,8 +54,8 @@
     Time deadline{};
     Time next_attempt{};
     std::uint64_t attempt = 0;
-    bool is_attempt_pending = false;  ///< an attempt waits for its answer
-    int unresolved_attempts = 0;      ///< attempts that were sent and have no result yet
+    bool is_attempt_pending = false;  ///< the last attempt has no result yet
+    int unresolved_attempts = 0;      ///< all attempts without a result yet
     bool may_have_run = false;
     bool is_done = false;
   };
--- a/src/instance/relay_test.cc
+++ b/src/instance/relay_test.cc
@@ -16,7 +16,7 @@
 constexpr int kRefused = 503;
 constexpr int kMayHaveRun = 504;
 
-/// A relay whose attempts are answered by hand.
+/// Completes the attempts of a relay by hand.
 class RelayTest : public testing::Test {
  protected:
   struct SentAttempt {
@@ -50,8 +50,8 @@
        }}};
 };
 
-// Guards against a client that is told "not run" by a deposed leader while its call is on the way to the new one.
-TEST_F(RelayTest, RefusalOfAnEarlierLeaderIsNotFinal) {
+// Guards against a "not run" from a deposed leader while the call is on its way to the new one.
+TEST_F(RelayTest, RefusalByEarlierLeaderIsNotFinal) {
   Tick(milliseconds(10));
   Call();
   m_leader = "b";
@@ -65,8 +65,8 @@
   EXPECT_EQ(m_statuses, std::vector<int>{kOk});
 }
 
-// Guards against "not run" for a call that the leader may have received before it died.
-TEST_F(RelayTest, CallWithoutAnAnswerMayHaveRun) {
+// Guards against "not run" for a call that the leader may have received before it crashed.
+TEST_F(RelayTest, CallWithoutResponseMayHaveRun) {
   Tick(milliseconds(10));
   Call();
   m_sent_attempts[0].done({false, true, false, {}});
@@ -75,8 +75,8 @@
   EXPECT_EQ(m_statuses, std::vector<int>{kMayHaveRun});
 }
 
-// Guards against "not run" while an attempt at an earlier leader, which may have stored the job, has no answer yet.
-TEST_F(RelayTest, OpenAttemptAtAnEarlierLeaderMayHaveRun) {
+// Guards against "not run" while an attempt at an earlier leader, which may have stored the job, is pending.
+TEST_F(RelayTest, PendingAttemptAtEarlierLeaderMayHaveRun) {
   Tick(milliseconds(10));
   Call();
   m_leader = "";
@@ -89,8 +89,8 @@
   EXPECT_EQ(m_statuses, std::vector<int>{kMayHaveRun});
 }
 
-// Guards against calls that wait although this instance is cut off.
-TEST_F(RelayTest, CallIsRefusedAtOnceWithoutALeader) {
+// Guards against calls that wait for their deadline although this instance is partitioned.
+TEST_F(RelayTest, CallIsRefusedAtOnceWithoutLeader) {
   Tick(milliseconds(10));
   m_is_leader_known = false;
   for (int i = 0; i < 25; ++i) Tick(milliseconds(100));
@@ -98,8 +98,8 @@
   EXPECT_EQ(m_statuses, std::vector<int>{kRefused});
 }
 
-// Guards against calls that are dropped while the leader changes.
-TEST_F(RelayTest, CallWaitsForTheNextLeader) {
+// Guards against calls that are dropped during a change of leader.
+TEST_F(RelayTest, CallWaitsForNextLeader) {
   Tick(milliseconds(10));
   m_is_leader_known = false;
   Tick(milliseconds(300));
@@ -111,7 +111,7 @@
   ASSERT_EQ(m_sent_attempts.size(), 1U);
   m_sent_attempts[0].done({true, true, true, {}});
   Tick(milliseconds(100));
-  ASSERT_EQ(m_sent_attempts.size(), 2U) << "an undecided answer is asked again";
+  ASSERT_EQ(m_sent_attempts.size(), 2U) << "an undecided response must be retried";
   m_sent_attempts[1].done(Response(kOk));
   EXPECT_EQ(m_statuses, std::vector<int>{kOk});
 }
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -28,10 +28,10 @@
 
 enum class TaskPhase {
   kWaiting,   ///< has no upstream
-  kAssigned,  ///< has room on an upstream; the start is not sent before the assignment is committed
+  kAssigned,  ///< resources are allocated; the start is sent once this is committed
   kStarting,  ///< the start was sent and may have been received
   kRunning,
-  kStopping,  ///< a stop was sent; holds its room until the end is listed
+  kStopping,  ///< a stop was sent; keeps its allocation until the upstream lists the end
   kDone,
 };
 
@@ -41,68 +41,70 @@
                                                              "running", "stopping", "done"};
 };
 
-/// Whether a task in this phase holds room on its upstream.
+/// Whether a task in this phase has resources allocated on its upstream.
 constexpr bool HasAllocation(TaskPhase phase) { return phase != TaskPhase::kWaiting && phase != TaskPhase::kDone; }
 
 struct TaskState {
   TaskPhase phase = TaskPhase::kWaiting;
-  std::int32_t run = 0;       ///< number of the last start
+  std::int32_t run = 0;       ///< number of the last start, from 1
   std::int32_t failures = 0;  ///< runs that ended with a failure
-  UpstreamId upstream;        ///< holds the room of the task
+  UpstreamId upstream;        ///< where the resources of the task are allocated
   std::string checkpoint;
-  // Not stored: known from the upstream again after a takeover.
-  std::uint64_t token = 0;  ///< fence with which the start was sent
+  // Not stored: recovered from the upstream after a takeover.
+  std::uint64_t token = 0;  ///< fencing token of the start
   std::int32_t send_attempts = 0;
   Time confirmed_at = Time::max();   ///< when the upstream acknowledged the start
   Time stop_retry_at = Time::max();  ///< when the stop is sent again
   Time progressed_at{};              ///< when the reported progress last changed
   std::int32_t percent = -1;
-  UpstreamId failed_on;  ///< where the last run failed; avoided next time
+  UpstreamId failed_on;  ///< where the last run failed; avoided for the next one
 };
 
-/// Permission of the policy service to start tasks of one step on one upstream.
+/// Permits tasks of one step to start on one upstream. Issued by the policy service.
 struct Ticket {
   std::string text;
   Time expires_at{};
-  std::int64_t incarnation = 0;  ///< life of the upstream for which the ticket is valid
+  std::int64_t incarnation = 0;  ///< incarnation of the upstream for which the ticket is valid
 };
 
-/// One step of one occurrence.
+/// State of one step of one occurrence.
 struct StepState {
   std::vector<TaskState> tasks;
-  std::map<UpstreamId, Ticket> tickets;         ///< answers that allow the step
-  std::map<UpstreamId, bool> policy_decisions;  ///< everything the policy service ever said of this step
+  std::map<UpstreamId, Ticket> tickets;  ///< of the upstreams that may run the step
+  std::map<UpstreamId, bool>
+      policy_decisions;  ///< whether the policy service permitted the step on each upstream asked for
   int open_policy_calls = 0;
-  Time next_policy_call_at{};             ///< not asked again before
+  Time next_policy_call_at{};             ///< earliest next call to the policy service
   std::int64_t waiting = 0;               ///< tasks without an upstream
   std::int64_t not_done = 0;              ///< tasks that are not done
-  bool is_gang_done = false;              ///< one member ended as done, which counts for all
-  std::int32_t last_failed_gang_run = 0;  ///< highest run of the gang that was counted as failed
+  bool is_gang_done = false;              ///< one member has completed, which completes all
+  std::int32_t last_failed_gang_run = 0;  ///< last run of the gang that was counted as failed
 };
 
+/// One execution of a job; a scheduled job has several.
 struct Occurrence {
   std::vector<StepState> steps;  ///< empty until the occurrence is due
   std::int64_t steps_left = 0;
   bool is_done = false;
 };
 
-/// A job and what became of its tasks.
+/// A job and the state of its tasks.
 struct Job {
   JobId id;
   QueueId queue;
   TeamId team;  ///< organisation of the client
   JobSpec spec;
-  std::string call_id;  ///< of the call with which the job was accepted
+  std::string call_id;  ///< of the call that submitted the job
   JobState state = JobState::kPending;
-  JobState committed_state = JobState::kPending;  ///< committed state, the only one that clients see
+  JobState committed_state = JobState::kPending;  ///< the only state that clients see
   std::vector<Occurrence> occurrences;
-  bool has_started = false;  ///< a task has begun
+  bool has_started = false;  ///< a task has been started
   Time accepted{};
-  Time objective{};                 ///< latest completion that counts as timely
-  Time hard_deadline{};             ///< latest completion that is worth something
-  std::int64_t recorded_at_ms = 0;  ///< clock of the store at the acceptance
+  Time objective{};                 ///< latest completion that meets the latency objective
+  Time hard_deadline{};             ///< latest completion whose result is of use
+  std::int64_t recorded_at_ms = 0;  ///< store clock at acceptance
 
-  // Durability: changes up to `committed_change` are in the store.
+  // Changes are numbered; those up to `committed_change` are in the store.
   std::uint64_t change = 0;
   std::uint64_t committed_change = 0;
   bool is_queued_for_commit = false;
--- a/src/jobs/job_record.cc
+++ b/src/jobs/job_record.cc
@@ -18,7 +18,7 @@
 
 namespace json = boost::json;
 
-/// Upper bound of counts and amounts in a record; larger figures are not written by this program.
+/// Upper bound of counts and amounts in a record. Larger values are never written.
 constexpr std::int64_t kMaxAmount = std::int64_t{1} << 52;
 constexpr std::size_t kMaxTextBytes = std::size_t{64} * 1024;
 
--- a/src/jobs/job_record.h
+++ b/src/jobs/job_record.h
@@ -8,36 +8,36 @@
 
 namespace jaymast {
 
-/// Encodes what never changes: queue, organisation and specification.
+/// Encodes the immutable part of a job: queue, organisation and specification.
 std::string EncodeJobRecord(const Job& job);
 
-/// Encodes what is left of an ended job: queue, organisation and state.
+/// Encodes an ended job: queue, organisation and state.
 std::string EncodeFinalRecord(const Job& job);
 
-/// Whether a task of the job has room on an upstream.
+/// Whether any task of the job has resources allocated.
 bool HasAnyAllocation(const Job& job);
 
-/// Whether the job has ended and nothing of it runs any more.
+/// Whether the job has ended and none of its tasks has resources allocated.
 bool IsSettled(const Job& job);
 
-/// Encodes what changes: runs, failures, upstreams and checkpoints of all tasks.
+/// Encodes the mutable part of a job: runs, failures, upstreams and checkpoints of all tasks.
 std::string EncodeProgressRecord(const Job& job);
 
-/// Reads a record of EncodeJobRecord or EncodeFinalRecord.
-/// @return the job without progress, or an error with the path of the first bad field
+/// Decodes a record written by EncodeJobRecord() or EncodeFinalRecord().
+/// @return the job without progress, or an error with the path of the first invalid field
 Result<Job> DecodeJobRecord(const JobId& id, std::string_view text);
 
-/// Applies a record of EncodeProgressRecord to a job.
-/// @return whether the record was readable and fits the specification
+/// Applies a record written by EncodeProgressRecord() to a job.
+/// @return whether the record is valid and matches the specification; if not, the job may be partly changed
 bool ApplyProgressRecord(std::string_view text, Job& job);
 
-/// Creates the steps and tasks of an occurrence that is due.
+/// Creates the steps and tasks of a due occurrence.
 void OpenOccurrence(Job& job, std::size_t occurrence);
 
-/// Task name as "JOB.OCCURRENCE.STEP.INDEX".
+/// Formats a task key as "JOB.OCCURRENCE.STEP.INDEX".
 std::string FormatTaskKey(const TaskKey& key);
 
-/// Reads a task name; nothing when it does not have the form of FormatTaskKey.
+/// Parses the format of FormatTaskKey(). Returns nullopt for any other text.
 std::optional<TaskKey> ParseTaskKey(std::string_view text);
 
 }  // namespace jaymast
--- a/src/jobs/job_record_test.cc
+++ b/src/jobs/job_record_test.cc
@@ -33,8 +33,8 @@
   return job;
 }
 
-// Guards against fields that are lost when a new leader reads the record.
-TEST(JobRecordTest, JobAndProgressSurviveTheRecord) {
+// Guards against fields that are lost when a new leader decodes the record.
+TEST(JobRecordTest, JobAndProgressRoundTrip) {
   Job job = ExampleJob();
   job.state = JobState::kRunning;
   job.has_started = true;
@@ -68,7 +68,7 @@
   EXPECT_EQ(read->occurrences[0].steps[0].waiting, 1);
 }
 
-// Guards against ended jobs that keep their specification in the store and in memory.
+// Guards against ended jobs whose specification takes up space in the store and in memory.
 TEST(JobRecordTest, EndedJobKeepsOnlyItsState) {
   Job job = ExampleJob();
   job.state = JobState::kCompleted;
@@ -78,8 +78,8 @@
   EXPECT_TRUE(read->spec.steps.empty());
 }
 
-// Guards against an ended job that runs again after a takeover, because its record was not yet replaced.
-TEST(JobRecordTest, FinalProgressEndsTheJob) {
+// Guards against restarting an ended job after a takeover if its job record was not yet replaced.
+TEST(JobRecordTest, FinalProgressEndsJob) {
   Job job = ExampleJob();
   Result<Job> read = DecodeJobRecord(job.id, EncodeJobRecord(job));
   ASSERT_TRUE(read);
@@ -93,24 +93,24 @@
   EXPECT_EQ(again->state, JobState::kCancelled);
 }
 
-// Guards against a crash of a new leader on bytes that another version wrote.
-RC_GTEST_PROP(JobRecordTest, AnyBytesAreReadOrRefused, (const std::string& text)) {
+// Guards against a crash on bytes that another version wrote.
+RC_GTEST_PROP(JobRecordTest, ArbitraryBytesAreDecodedOrRejected, (const std::string& text)) {
   Job job = ExampleJob();
   ApplyProgressRecord(text, job);
   DecodeJobRecord(job.id, text);
   ParseTaskKey(text);
 }
 
-// Guards against progress of another shape, for example of a job with more steps.
-TEST(JobRecordTest, ProgressOfAnotherShapeIsRefused) {
+// Guards against progress that does not match the specification, for example with more steps.
+TEST(JobRecordTest, MismatchedProgressIsRejected) {
   Job job = ExampleJob();
   const std::string text = EncodeProgressRecord(job);
   job.spec.steps.pop_back();
   EXPECT_FALSE(ApplyProgressRecord(text, job));
 }
 
-// Guards against task names that are read as those of another task.
-TEST(JobRecordTest, TaskNamesAreReadAsWritten) {
+// Guards against task keys that are parsed as those of another task.
+TEST(JobRecordTest, TaskKeysRoundTrip) {
   const TaskKey key{JobId("5c0e7a21d94b36f8"), 2, 1, 17};
   EXPECT_EQ(FormatTaskKey(key), "5c0e7a21d94b36f8.2.1.17");
   EXPECT_EQ(ParseTaskKey("5c0e7a21d94b36f8.2.1.17"), key);
--- a/src/jobs/upstream_listing.h
+++ b/src/jobs/upstream_listing.h
@@ -10,7 +10,7 @@
 
 namespace jaymast {
 
-/// What an upstream says of itself in the platform's list.
+/// Describes an upstream as it registered itself in the platform's list.
 struct UpstreamListing {
   UpstreamId id;
   ServiceId service;
@@ -19,7 +19,7 @@
   std::string rack;
   std::vector<std::string> labels;
   Resources capacity;
-  std::int64_t incarnation = 0;  ///< time of its start; changes when it starts again under its id
+  std::int64_t incarnation = 0;  ///< start time; changes when the upstream restarts under the same id
   bool is_draining = false;
 };
 
--- a/src/tasks/home_task.h
+++ b/src/tasks/home_task.h
@@ -15,13 +15,13 @@
 
 namespace jaymast {
 
-/// Phase of a task at its home entry.
+/// Phase of a task at its home entry, the entry that accepted it.
 enum class HomeTaskPhase {
   kAccepting,  ///< the acceptance is being committed
-  kQueued,     ///< waits to ask an owner for a hold
-  kHolding,    ///< an owner has been asked
-  kHeld,       ///< held, and waits for the other members of its gang
-  kClaiming,   ///< the claim is being committed
+  kQueued,     ///< waits until a hold can be requested
+  kHolding,    ///< a hold has been requested from an owner
+  kHeld,       ///< has a hold and waits for the other members of its gang
+  kClaiming,   ///< the claim of the held capacity is being committed
   kStarted,    ///< the start order was sent, or may have been
   kEnding,     ///< the outcome is being committed
   kEnded,
@@ -33,7 +33,7 @@
                                                              "claiming",  "started", "ending",  "ended"};
 };
 
-/// How a task ended.
+/// Final state of a task.
 enum class EndState { kSucceeded, kFailed, kCancelled, kUnknown };
 
 template <>
@@ -45,32 +45,32 @@
   EndState state = EndState::kUnknown;
   Verdict verdict = Verdict::kNotRun;
   ErrorId error = ErrorId::kNone;
-  std::string output;  ///< output when succeeded, otherwise the reason
+  std::string output;  ///< output if succeeded, else the reason
 };
 
-/// A durable task whose home is this entry.
+/// State of a durable task at its home entry.
 struct HomeTask {
   TaskSpec spec;
   HomeTaskPhase phase = HomeTaskPhase::kAccepting;
   std::int64_t attempt = 0;
-  EntryId owner;  ///< entry that was asked, or that runs the task
+  EntryId owner;  ///< entry asked for a hold, or that runs the task
   UpstreamId upstream;
   DomainId domain;  ///< failure domain of the upstream
   std::int64_t epoch = 0;
   std::string checkpoint;
   std::set<EntryId> refused_by;
   std::set<UpstreamId> failed_on;
-  std::string wait_reason;  ///< why the task waits, for people
+  std::string wait_reason;  ///< why the task waits, for display
   std::int64_t backoff_count = 0;
   std::int64_t unanswered_probes = 0;
   bool cancel_requested = false;
-  bool is_claimed = false;        ///< some attempt was claimed, so the task may have run
-  bool is_outcome_known = false;  ///< ended, but the store is unreachable and the outcome is not recorded yet
+  bool is_claimed = false;        ///< an attempt was claimed, so the task may have run
+  bool is_outcome_known = false;  ///< ended, but the outcome is not committed yet because the store is unreachable
   Time next_probe;
   Time accepted_at;
   TaskEnd end;
 
-  /// Whether callers can be told the outcome.
+  /// Whether the outcome may be reported to callers.
   bool HasOutcome() const {
     return phase == HomeTaskPhase::kEnded || (phase == HomeTaskPhase::kEnding && is_outcome_known);
   }
--- a/src/tasks/idempotency.h
+++ b/src/tasks/idempotency.h
@@ -6,10 +6,10 @@
 
 namespace jaymast {
 
-/// Key of the row that belongs to the idempotency key of a task, or empty when the task has none.
+/// Returns the table key for the idempotency key of a task, or an empty string if it has none.
 std::string IdempotencyRowKey(const TaskSpec& spec);
 
-/// Digest of what a caller asked for, without the ids that the entry added.
+/// Returns a digest of the request, which excludes the ids assigned by the entry.
 std::string RequestDigest(const TaskSpec& spec);
 
 }  // namespace jaymast
--- a/src/tasks/journal_record.h
+++ b/src/tasks/journal_record.h
@@ -17,7 +17,7 @@
 enum class JournalRecordKind {
   kAccepted,  ///< spec
   kClaimed,   ///< attempt, upstream, domain, epoch, owner
-  kReleased,  ///< the claimed attempt has ended and the task waits again, from the checkpoint
+  kReleased,  ///< the claimed attempt has ended; the task is queued again and resumes from the checkpoint
   kEnded,     ///< end
 };
 
@@ -26,7 +26,7 @@
   static constexpr std::array<std::string_view, 4> kNames = {"accepted", "claimed", "released", "ended"};
 };
 
-/// One record of a task's history. The records of a task apply in the order of their row versions.
+/// One state change of a task. Records of a task are replayed in the order of their row versions.
 struct JournalRecord {
   JournalRecordKind kind = JournalRecordKind::kAccepted;
   AttemptId id;
--- a/src/tasks/journal_record_test.cc
+++ b/src/tasks/journal_record_test.cc
@@ -25,13 +25,13 @@
   return {accepted, claimed, released, ended};
 }
 
-// Guards against a row that crashes its reader, or is read as a value which cannot be written back.
-TEST(JournalRecordTest, MutatedRowsAreRefusedOrStable) {
+// Guards against malformed rows that crash the decoder or decode to a value that does not round-trip.
+TEST(JournalRecordTest, MutatedRowsAreRejectedOrRoundTrip) {
   CheckMutatedJson({EncodeRecords(Sample()), EncodeRecords({})}, DecodeRecords, EncodeRecords);
 }
 
-// Guards against a task without team and demand, which would start outside of every limit.
-TEST(JournalRecordTest, AcceptedRecordsNeedTheirSpecification) {
+// Guards against decoding a task without team and demand, to which no limit would apply.
+TEST(JournalRecordTest, AcceptedRecordRequiresSpec) {
   const auto records = DecodeRecords(R"({"records":[{"kind":"accepted","task":"t"}]})");
   ASSERT_FALSE(records);
   EXPECT_EQ(records.error().path, "journal/spec");
--- a/src/tasks/submission_gangs_test.cc
+++ b/src/tasks/submission_gangs_test.cc
@@ -18,7 +18,7 @@
   return [last = 0]() mutable { return GangId("g" + std::to_string(++last)); };
 }
 
-// Guards against a gang that waits for ever, because other tasks of the request were counted as its members.
+// Guards against a gang that waits forever because other tasks of the request were counted as members.
 TEST(SubmissionGangsTest, CountsOnlyMembers) {
   std::vector<TaskSpec> specs = {Task(WorkClass::kBatch), Task(WorkClass::kGang, "a"), Task(WorkClass::kService),
                                  Task(WorkClass::kGang, "a")};
@@ -31,8 +31,8 @@
   EXPECT_EQ(specs[2].gang_size, 0);
 }
 
-// Guards against two gangs of one request that are placed as one and need the capacity for both at once.
-TEST(SubmissionGangsTest, KeepsGangsApart) {
+// Guards against two gangs of one request that are placed as one and need capacity for both at once.
+TEST(SubmissionGangsTest, AssignsOneIdPerGang) {
   std::vector<TaskSpec> specs = {Task(WorkClass::kGang, "a"), Task(WorkClass::kGang, "b"), Task(WorkClass::kGang),
                                  Task(WorkClass::kGang, "b"), Task(WorkClass::kGang)};
   AssignGangs(specs, Numbered());
--- a/src/tasks/task_adoption.cc
+++ b/src/tasks/task_adoption.cc
@@ -1,4 +1,4 @@
-// Taking over the tasks of entries that left or expired.
+// Adoption of tasks whose home entry left or expired.
 #include <algorithm>
 #include <utility>
 
@@ -8,7 +8,7 @@
 namespace jaymast {
 namespace {
 
-/// The dead home may have asked for holds with attempt numbers that it never recorded. The adopter skips this many.
+/// Attempt numbers skipped by the adopter, because the former home may have requested holds with unrecorded numbers.
 constexpr std::int64_t kAdoptedAttemptGap = 1000;
 
 }  // namespace
@@ -105,7 +105,7 @@
       m_started_tasks.insert(id);
       Probe(task);
     } else if (task.phase == HomeTaskPhase::kQueued) {
-      // A member of a gang may have been dispatched with another member already.
+      // Skips gang members that were already dispatched together with another member.
       Enqueue(task);
     }
   }
--- a/src/tasks/task_dispatch.cc
+++ b/src/tasks/task_dispatch.cc
@@ -1,4 +1,4 @@
-// Placing of tasks and their outcomes: hold, claim, start, result.
+// Dispatch of tasks and handling of their outcomes: hold, claim, start, result.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -15,7 +15,7 @@
 namespace jaymast {
 namespace {
 
-/// Holds that this entry asks for at a time. More would only wait in the queues of the owners.
+/// Further hold requests would only wait in the queues of the owners.
 constexpr std::size_t kMaxOpenHoldRequests = 256;
 
 constexpr Duration kHoldTimeout = std::chrono::milliseconds(1500);
@@ -25,14 +25,13 @@
 constexpr Duration kProbeInterval = std::chrono::seconds(10);
 constexpr Duration kCommitRetryDelay = std::chrono::milliseconds(500);
 
-/// A task that failed on this many different upstreams is a bad task, not a task on bad upstreams.
+/// After failures on this many different upstreams, the fault is taken to be in the task and not in the upstreams.
 constexpr std::size_t kMaxFailedUpstreams = 3;
 
-/// Order in which the classes of work are served.
 constexpr std::array<WorkClass, 5> kServiceOrder = {WorkClass::kPreview, WorkClass::kUrgent, WorkClass::kService,
                                                     WorkClass::kGang, WorkClass::kBatch};
 
-/// Whether the other members of a gang need not wait for this one: it has ended, or it runs and is never started again.
+/// Whether this task will not be placed again, so that the rest of its gang need not wait for it.
 bool IsPlacementFinal(const HomeTask& task) {
   if (task.phase == HomeTaskPhase::kEnded) return true;
   return task.phase == HomeTaskPhase::kStarted && task.spec.semantics == Semantics::kAtMostOnce;
@@ -165,7 +164,7 @@
   const bool is_ready = is_complete && std::all_of(members.begin(), members.end(), [](const HomeTask* task) {
                           return task->phase == HomeTaskPhase::kQueued || IsPlacementFinal(*task);
                         });
-  // The member that is queued last finds the gang ready.
+  // The last member to be queued dispatches the gang.
   if (!is_ready) return;
   const GangId gang = first.spec.gang;
   for (HomeTask* task : members) {
@@ -190,7 +189,7 @@
 
 void TaskManager::OnGangMemberEnded(const GangId& gang) {
   CheckGang(gang);
-  // Members that wait to be started again could not go on while this one ran.
+  // Queued members had to wait for this one to end.
   for (HomeTask* task : GangMembers(gang)) {
     if (task->phase == HomeTaskPhase::kQueued) return Enqueue(*task);
   }
@@ -202,7 +201,7 @@
     if (task->phase == HomeTaskPhase::kHolding) CloseHoldRequest(*task);
     ReleaseHoldOf(*task);
     task->phase = HomeTaskPhase::kQueued;
-    // The member that could not be placed enqueues the gang again after its backoff.
+    // The member that could not be placed re-enqueues the gang after its backoff.
     task->wait_reason = "another member of the gang could not be placed";
   }
 }
@@ -210,7 +209,7 @@
 void TaskManager::StopOtherGangMembers(const HomeTask& ended_member) {
   for (const HomeTask* task : GangMembers(ended_member.spec.gang)) {
     if (task->phase != HomeTaskPhase::kStarted || task->spec.id == ended_member.spec.id) continue;
-    // At-most-once members may not be started again, so they run on while the others are placed anew.
+    // At-most-once members must not be restarted, so they keep running while the others are placed again.
     if (task->spec.semantics == Semantics::kAtMostOnce) continue;
     m_hooks.send(task->owner, StopOrder{AttemptId{task->spec.id, task->attempt}, StopMode::kCheckpoint});
   }
@@ -287,7 +286,7 @@
 void TaskManager::OnResult(const EntryId& from, const TaskResult& result) {
   HomeTask* task = Find(result.id);
   if (task == nullptr || task->phase != HomeTaskPhase::kStarted) {
-    // A result of an attempt that is over. The current attempt's result is acknowledged once it is committed.
+    // Results of former attempts are acknowledged at once, that of the current attempt once it is committed.
     const bool is_being_committed = task != nullptr && task->phase == HomeTaskPhase::kEnding;
     if (!is_being_committed) Acknowledge(from, result.id);
     return;
@@ -342,7 +341,7 @@
   }
   Acknowledge(from, result.id);
   StopOtherGangMembers(task);
-  // Another owner is preferred, because the upstream may be at fault.
+  // Prefers another owner, because the upstream may be at fault.
   task.refused_by.insert(from);
   Requeue(task, "failed: " + result.output);
 }
@@ -388,7 +387,8 @@
     HomeTask* current = Find(id);
     if (current == nullptr) return;
     if (outcome != CommitOutcome::kCommitted) {
-      // The outcome stays in memory until the store is back. Callers get it now: the runner keeps it for the next home.
+      // The commit is retried until the store is available. Callers get the outcome now, which is safe because the
+      // runner keeps the result for the next home.
       current->is_outcome_known = true;
       NotifyWaiters(id.task);
       CheckSubmissionsOf(id.task);
--- a/src/tasks/task_journal.cc
+++ b/src/tasks/task_journal.cc
@@ -11,7 +11,7 @@
 namespace jaymast {
 namespace {
 
-/// Bounds of one row, so that a transaction stays small for the table service.
+/// Limits of one row, which keep the transactions of the table service small.
 constexpr std::size_t kMaxRecordsPerRow = 64;
 constexpr std::size_t kMaxBytesPerRow = 1U << 20U;
 constexpr std::size_t kMaxDeletesPerWrite = 64;
@@ -96,7 +96,7 @@
     const bool is_member = present.contains(m_membership.IsMember().key);
     for (Pending& pending : *shared) {
       if (!reply.available || !is_member) {
-        // The transaction was refused, so nothing of it was written.
+        // The transaction was rejected as a whole, so nothing was written.
         pending.done(CommitOutcome::kUnavailable);
       } else if (pending.insert && present.contains(pending.insert->key)) {
         pending.done(CommitOutcome::kConflict);
--- a/src/tasks/task_journal.h
+++ b/src/tasks/task_journal.h
@@ -17,10 +17,10 @@
 
 class Membership;
 
-/// Prefix of the journal rows of an entry.
+/// Returns the key prefix of the journal rows of an entry.
 std::string JournalPrefix(const EntryId& home);
 
-/// Writes task records in batches: one row for all records of a flush interval.
+/// Writes task records to the table in batches, one row for each batch of a flush interval.
 class TaskJournal {
  public:
   using Done = std::function<void(CommitOutcome)>;
@@ -30,17 +30,17 @@
   void Start();
 
   /// Adds a record to the next batch.
-  /// @param insert a row that must be absent, written together with the record; kConflict when it exists
+  /// @param insert row written in the same transaction; must not exist yet, else the outcome is kConflict
   void Append(JournalRecord record, std::optional<Write> insert, Done done);
 
-  /// Registers a row that another entry wrote, so that it is deleted once its tasks are forgotten.
+  /// Registers a row written by another entry, so that it is deleted once all its tasks are removed.
   void AddRow(const std::string& key, const std::vector<JournalRecord>& records);
 
-  /// The records of a task are not needed any more. Its rows are deleted when they hold no other task.
-  /// @param extra_row a further row to delete, or empty
+  /// Removes a task. Rows that hold no other task are deleted with the next batch.
+  /// @param extra_row key of another row to delete, or empty
   void Remove(const TaskId& task, const std::string& extra_row);
 
-  /// Whether no record waits or is being written.
+  /// Whether no record is waiting or being written.
   bool IsIdle() const { return m_pending.empty() && m_open_writes == 0; }
 
  private:
--- a/src/tasks/task_manager.cc
+++ b/src/tasks/task_manager.cc
@@ -22,10 +22,10 @@
 constexpr Duration kProbeSweepInterval = std::chrono::seconds(1);
 constexpr Duration kFirstProbeDelay = std::chrono::seconds(3);
 
-/// How long the tasks of a confirmed plan may take to be accepted before they are submitted again.
+/// Timeout of accepting the tasks of a confirmed plan, after which they are submitted again.
 constexpr Duration kPlanSubmitTimeout = std::chrono::seconds(2);
 
-/// How long a caller waits at least for the acceptance to be recorded.
+/// Minimum time that a caller waits for the acceptance to be committed.
 constexpr Duration kAcceptTimeout = std::chrono::seconds(5);
 
 }  // namespace
@@ -179,7 +179,7 @@
     if (reply.available && !reply.rows.empty()) {
       return OnDuplicate(submission, id, RequestDigest(spec), reply.rows.front());
     }
-    // The first request with this key is being recorded, or the store went away. This one wrote nothing.
+    // The first request with this key is still being committed, or the store is unavailable. This one wrote nothing.
     open->second.refused[id] = Error{ErrorId::kStoreUnavailable, "Idempotency-Key", "the key could not be checked"};
     FinishAcceptance(submission);
   });
@@ -205,7 +205,7 @@
     return FinishAcceptance(submission);
   }
   if (open.tasks.size() > 1 || open.request == 0) return FinishAcceptance(submission);
-  // A single task that another entry accepted: its home answers the caller.
+  // A single task accepted by another entry is queried at its home.
   const RequestId request = open.request;
   const Time wait_until = open.wait_until;
   m_submissions.erase(submission);
@@ -261,7 +261,7 @@
   if (open->second.open_accepts > 0) {
     if (!is_timeout || open->second.request == 0) return;
     if (m_context.Now() < open->second.accept_by) {
-      // The wait for outcomes is over, but the answer must say whether the tasks were accepted.
+      // The wait for outcomes is over, but the response must state whether the tasks were accepted.
       return m_context.timers.At(open->second.accept_by, [this, call] { RespondToSubmission(call, true); });
     }
     const RequestId request = open->second.request;
--- a/src/tasks/task_manager.h
+++ b/src/tasks/task_manager.h
@@ -23,11 +23,11 @@
 class Membership;
 class Router;
 
-/// Home role: accepts durable tasks, keeps their journal, and brings each to one outcome.
+/// Accepts durable tasks as their home entry, journals their state, and drives each to exactly one outcome.
 class TaskManager {
  public:
   struct Hooks {
-    std::function<void(const EntryId&, const PeerMessage&)> send;  ///< to a peer or to this entry
+    std::function<void(const EntryId&, const PeerMessage&)> send;  ///< to a peer or to this entry itself
   };
 
   TaskManager(Context& context, TableClient& table, const ConfigStore& config, const Membership& membership,
@@ -35,10 +35,10 @@
 
   void Start();
 
-  /// Accepts tasks of an authenticated caller; their teams are set.
+  /// Submits tasks of an authenticated caller. `team` must be set in each spec.
   void Submit(RequestId request, std::vector<TaskSpec> specs, Time wait_until);
 
-  /// Accepts the tasks of a confirmed plan. A repeated call with the same key has no further effect.
+  /// Submits the tasks of a confirmed plan. Idempotent by plan id. `done` gets whether all tasks were accepted.
   void SubmitForPlan(const PlanId& plan, std::vector<TaskSpec> specs, std::function<void(bool)> done);
 
   void Query(RequestId request, const TeamId& team, const TaskId& task, bool cancel, Time wait_until);
@@ -50,36 +50,36 @@
   void OnQuery(const EntryId& from, const TaskQuery& query);
   void OnQueryReply(const TaskQueryReply& reply);
 
-  /// Takes in the rows of a read of the prefix `adopt/`.
+  /// Processes the rows read under the prefix `adopt/`.
   void OnAdoptRows(const std::vector<Row>& rows);
 
-  /// Begins a planned stop: no new tasks are accepted, and those of waiting callers go on.
+  /// Begins a planned shutdown: refuses new tasks, but continues those with waiting callers.
   void StopAccepting() { m_is_closed = true; }
 
-  /// Whether callers wait for outcomes.
+  /// Whether callers are waiting for outcomes.
   bool HasWaiters() const { return !m_waiters.empty() || !m_submissions.empty(); }
 
-  /// Stops asking for holds, and answers all waiting callers with the state of their tasks.
+  /// Stops requesting holds and reports the current task states to all waiting callers.
   void Drain();
 
-  /// Whether no write is open and no owner was asked for a hold.
+  /// Whether no write, hold request, submission or forwarded query is pending.
   bool IsQuiet() const;
 
   std::size_t queued() const { return m_queue.size(); }
   const std::map<TaskId, HomeTask>& tasks() const { return m_tasks; }
 
  private:
-  /// A submission whose caller waits for acceptance, and then for the outcomes.
+  /// A submission whose caller waits for acceptance and then for the outcomes.
   struct Submission {
     RequestId request = 0;
     std::vector<TaskId> tasks;
     std::map<TaskId, Error> refused;
     std::size_t open_accepts = 0;
     Time wait_until;
-    Time accept_by;  ///< latest answer when the acceptance is not confirmed
+    Time accept_by;  ///< latest response if the acceptance is not confirmed
   };
 
-  /// A caller, or another entry on behalf of a caller, that waits for one task.
+  /// A caller, or a peer on behalf of a caller, that waits for one task.
   struct Waiter {
     RequestId request = 0;
     EntryId peer;  ///< empty for a caller of this entry
@@ -87,7 +87,7 @@
     TaskId task;
   };
 
-  /// A query that was forwarded to another home entry.
+  /// A query that was forwarded to the home entry of its task.
   struct ForwardedQuery {
     RequestId request = 0;
     TaskId task;
@@ -121,7 +121,7 @@
   void FailForwarded(std::uint64_t call, int status, const Error& error);
   void Cancel(HomeTask& task);
 
-  // Placing.
+  // Dispatch.
   void DispatchQueue();
   bool DispatchNext(WorkClass work_class);
   void RequestHold(HomeTask& task);
@@ -170,23 +170,23 @@
   TaskQueue m_queue;
   std::map<TaskId, HomeTask> m_tasks;
   std::map<GangId, std::set<TaskId>> m_gangs;
-  std::map<std::string, TaskId> m_task_by_idempotency_key;  ///< row key of an idempotency key to the task of this home
+  std::map<std::string, TaskId> m_task_by_idempotency_key;  ///< by row key of the idempotency key
   std::map<std::uint64_t, Submission> m_submissions;
   std::map<TaskId, std::set<std::uint64_t>> m_submissions_by_task;
   std::map<TaskId, std::vector<std::uint64_t>>
-      m_attached_submissions;  ///< submissions that repeat one which is being accepted
+      m_attached_submissions;  ///< repeated submissions of a task in phase kAccepting
   std::multimap<TaskId, Waiter> m_waiters;
   std::map<std::uint64_t, ForwardedQuery> m_forwarded_queries;
   std::map<std::uint64_t, std::function<void(bool)>> m_plan_submissions;
-  std::set<TaskId> m_started_tasks;  ///< tasks in phase kStarted, for probes
+  std::set<TaskId> m_started_tasks;  ///< tasks in phase kStarted, which are probed
   std::set<EntryId> m_adopted_homes;
   std::deque<TaskId> m_retained_tasks;
   std::uint64_t m_next_task = 1;
   std::uint64_t m_next_gang = 1;
   std::uint64_t m_next_call = 1;
   std::size_t m_open_hold_requests = 0;
-  bool m_is_closed = false;    ///< accepts no tasks
-  bool m_is_draining = false;  ///< asks for no holds
+  bool m_is_closed = false;    ///< refuses new tasks
+  bool m_is_draining = false;  ///< requests no holds
 };
 
 }  // namespace jaymast
--- a/src/tasks/task_queries.cc
+++ b/src/tasks/task_queries.cc
@@ -1,4 +1,4 @@
-// Questions about tasks: of callers here, of other entries, and forwarded to the home entry of a task.
+// Task queries: of local callers, of peers, and forwarded to the home entry of a task.
 #include <algorithm>
 #include <chrono>
 #include <utility>
@@ -11,13 +11,13 @@
 namespace jaymast {
 namespace {
 
-/// A forwarded query is repeated, because its home may die or another entry may take the task over.
+/// Forwarded queries are retried, because the home may crash or another entry may adopt the task.
 constexpr Duration kForwardRetryInterval = std::chrono::seconds(1);
 
-/// How long a forwarded query may take beyond the time that the caller waits.
+/// Time allowed for a forwarded query beyond the caller's waiting time.
 constexpr Duration kForwardMargin = std::chrono::seconds(2);
 
-/// Home entry of a task, which is the part of its id before the last dash.
+/// Returns the home entry of a task: the part of its id before the last dash.
 EntryId HomeOf(const TaskId& task) {
   const std::size_t dash = task.value().rfind('-');
   return EntryId(dash == std::string::npos ? std::string() : task.value().substr(0, dash));
@@ -65,7 +65,7 @@
   if (found == m_forwarded_queries.end()) return;
   const ForwardedQuery& query = found->second;
   if (home == m_context.self) {
-    // The journal of a home that was taken over may still be on its way.
+    // The journal of an adopted home may still be loading.
     if (!m_tasks.contains(query.task)) return ScheduleForwardRetry(call);
     const ForwardedQuery local = query;
     m_forwarded_queries.erase(found);
--- a/src/tasks/task_queue.h
+++ b/src/tasks/task_queue.h
@@ -12,15 +12,15 @@
 
 namespace jaymast {
 
-/// Tasks that wait at their home entry: by class of work, and round robin over the teams within a class.
+/// Queues tasks at their home entry by work class, with round robin over the teams of a class.
 class TaskQueue {
  public:
   void Push(WorkClass work_class, const TeamId& team, const TaskId& task);
 
-  /// Removes a task. The cost does not depend on the number of waiting tasks, so a wave of cancellations is cheap.
+  /// Removes a task in logarithmic time, so that mass cancellations are cheap.
   void Erase(const TaskId& task);
 
-  /// Takes the next task of a class, from the team that was served least recently.
+  /// Removes and returns the next task of a class, from the next team in round-robin order.
   std::optional<TaskId> Pop(WorkClass work_class);
 
   std::size_t size() const { return m_waiting.size(); }
@@ -32,7 +32,7 @@
   };
 
   std::array<ClassQueue, EnumNames<WorkClass>::kNames.size()> m_classes;
-  std::set<TaskId> m_waiting;  ///< a task that is not here any more is skipped by Pop()
+  std::set<TaskId> m_waiting;  ///< Pop() skips tasks that are not in this set
 };
 
 }  // namespace jaymast
--- a/src/tasks/task_response.h
+++ b/src/tasks/task_response.h
@@ -10,13 +10,13 @@
 
 struct HomeTask;
 
-/// The answer that refuses a request about tasks.
+/// Builds the response for a failed task request.
 Response ErrorResponse(const Error& error, Verdict verdict);
 
-/// Whether a task ran, as far as its home entry knows.
+/// Returns whether a task ran, as far as its home entry knows.
 Verdict VerdictOf(const HomeTask& task);
 
-/// A task as JSON, for answers to callers.
+/// Formats a task as JSON for responses to callers.
 std::string DescribeTask(const HomeTask& task);
 
 }  // namespace jaymast
