--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -70,15 +70,14 @@
 /// State of one step of one occurrence.
 struct StepState {
   std::vector<TaskState> tasks;
-  std::map<UpstreamId, Ticket> tickets;  ///< of the upstreams that may run the step
-  std::map<UpstreamId, bool>
-      policy_decisions;  ///< whether the policy service permitted the step on each upstream asked for
+  std::map<UpstreamId, Ticket> tickets;         ///< of the upstreams that may run the step
+  std::map<UpstreamId, bool> policy_decisions;  ///< whether each upstream asked about may run it
   int open_policy_calls = 0;
   Time next_policy_call_at{};             ///< earliest next call to the policy service
   std::int64_t waiting = 0;               ///< tasks without an upstream
   std::int64_t not_done = 0;              ///< tasks that are not done
   bool is_gang_done = false;              ///< one member has completed, which completes all
-  std::int32_t last_failed_gang_run = 0;  ///< last run of the gang that was counted as failed
+  std::int32_t last_failed_gang_run = 0;  ///< highest run of the gang that was counted as failed
 };
 
 /// One execution of a job; a scheduled job has several.
--- a/src/tasks/task_dispatch.cc
+++ b/src/tasks/task_dispatch.cc
@@ -74,7 +74,7 @@
   ++task.attempt;
   ++m_open_hold_requests;
   task.owner = *owner;
-  m_router.Debit(*owner, task.spec.demand);
+  m_router.AddPendingDemand(*owner, task.spec.demand);
   HoldRequest request;
   request.spec = task.spec;
   request.spec.body.clear();
@@ -95,7 +95,7 @@
 
 void TaskManager::CloseHoldRequest(const HomeTask& task) {
   --m_open_hold_requests;
-  m_router.Credit(task.owner, task.spec.demand);
+  m_router.RemovePendingDemand(task.owner, task.spec.demand);
 }
 
 void TaskManager::ReleaseHoldOf(const HomeTask& task) {
