--- a/src/instance/cell_instance.cc
+++ b/src/instance/cell_instance.cc
@@ -27,7 +27,7 @@
 /// whether a call sent into a network partition has run can't be known.
 constexpr Duration kLeaderTimeout{500'000};
 constexpr std::int64_t kMissedHeartbeats = 3;
-/// Time-out of a client that states none.
+/// Timeout of a client that states none.
 constexpr std::int64_t kDefaultClientTimeoutMs = 3000;
 /// The response must reach the client before its timeout. A call takes about 25 ms, so the margin is limited for short
 /// timeouts.
@@ -106,7 +106,7 @@
     if (now >= m_next_heartbeat_at) SendHeartbeats();
     YieldToLargerInstance();
     m_relay.SetLeader(true, "", m_term->journal().epoch(), now);
-    // Keeps the remaining contact time for the leader that follows this term.
+    // Preserves the time left until the leader counts as unreachable, for the leader after this term.
     m_leader_unreachable_at += now - m_last_leader_contact_at;
     m_last_leader_contact_at = now;
   } else {
--- a/src/instance/cell_instance.h
+++ b/src/instance/cell_instance.h
@@ -25,7 +25,7 @@
   virtual ~ClientCodec() = default;
   virtual ClientCall Decode(const HttpRequest& request) const = 0;
   virtual HttpResponse Encode(const ClientCall& call, const ClientReply& reply) const = 0;
-  /// Time-out of the client in ms, or 0 if the request states none.
+  /// Timeout of the client in ms, or 0 if the request states none.
   virtual std::int64_t ClientTimeoutMs(const HttpRequest& request) const = 0;
   /// Response to a call that produced no result.
   /// @param may_have_run whether the leader may have received the call
