--- a/src/instance/cell_instance.h
+++ b/src/instance/cell_instance.h
@@ -9,8 +9,8 @@
 
 #include "base/time.h"
 #include "cell/cell_event_sink.h"
-#include "cell/leadership.h"
-#include "cell/policy_port.h"
+#include "cell/leader_election.h"
+#include "cell/policy_client.h"
 #include "cell/state_store.h"
 #include "instance/cell_term.h"
 #include "instance/peer_codec.h"
@@ -49,8 +49,8 @@
  public:
   struct Ports {
     StateStore& store;
-    UpstreamPort& upstreams;
-    PolicyPort& policy;  ///< connection of this instance to the policy service
+    UpstreamClient& upstreams;
+    PolicyClient& policy;  ///< connection of this instance to the policy service
     CellEventSink& events;
     const ClientCodec& codec;
     PeerSend send_peer;
@@ -102,7 +102,7 @@
   void UpdateAgents();
   void YieldToLargerInstance();
   std::string ChooseSuccessor() const;
-  void Ask(const std::string& agent, const PolicyQuestion& question, std::function<void(PolicyAnswer)> done);
+  void RequestTickets(const std::string& agent, const PolicyRequest& question, std::function<void(PolicyReply)> done);
 
   Ports m_ports;
   const std::string m_address;
@@ -111,7 +111,7 @@
   std::int64_t m_unix_now_ms = 0;
   const Time m_started_at;
   Relay m_relay;
-  Leadership m_leadership;
+  LeaderElection m_leadership;
   std::unique_ptr<PolicyRouter> m_policy_router;
   std::unique_ptr<CellTerm> m_term;
   std::vector<std::pair<Time, std::unique_ptr<CellTerm>>> m_ended_terms;  ///< kept while open calls may refer to them
