--- a/src/cell/scheduler_orders.cc
+++ b/src/cell/scheduler_orders.cc
@@ -57,7 +57,7 @@
   const auto ticket = step.tickets.find(task->upstream);
   const QueueConfig* queue = QueueOf(job);
   const bool needs_ticket = queue != nullptr && queue->policy.has_value();
-  const bool has_ticket = !needs_ticket || (ticket != step.tickets.end() && ticket->second.expires_at > m_now);
+  const bool has_ticket = !needs_ticket || (ticket != step.tickets.end() && ticket->second.expiry > m_now);
   if (!IsUsable(upstream) || !has_ticket || IsFinal(job.state)) {
     if (is_first) {
       Unassign(job, key, *task, "upstream or ticket is not usable any more");
--- a/src/cell/scheduler_placement.cc
+++ b/src/cell/scheduler_placement.cc
@@ -134,13 +134,12 @@
   for (auto it = step.tickets.begin(); it != step.tickets.end();) {
     UpstreamState* upstream = FindUpstream(it->first);
     const bool is_valid =
-        it->second.expires_at > m_now && upstream != nullptr && upstream->incarnation == it->second.incarnation;
+        it->second.expiry > m_now && upstream != nullptr && upstream->incarnation == it->second.incarnation;
     if (!is_valid) {
       it = step.tickets.erase(it);
       continue;
     }
-    if (it->second.expires_at > m_now + kTicketMargin && MayRunOn(spec, queue, *upstream))
-      candidates.push_back(upstream);
+    if (it->second.expiry > m_now + kTicketMargin && MayRunOn(spec, queue, *upstream)) candidates.push_back(upstream);
     ++it;
   }
   return candidates;
--- a/src/instance/cell_instance.cc
+++ b/src/instance/cell_instance.cc
@@ -16,7 +16,7 @@
 /// A longer gap counts as missing heartbeats, not as the interval between them.
 constexpr Duration kMaxHeartbeatGap{300'000};
 /// A follower without contact to its leader for this time announces itself again.
-constexpr Duration kAnnouncementInterval{300'000};
+constexpr Duration kJoinInterval{300'000};
 /// A follower that has not responded for this time gets no policy calls.
 constexpr Duration kFollowerTimeout{1'200'000};
 /// An instance without contact to a leader for this time reports itself as not ready.
@@ -62,9 +62,9 @@
 class CellInstance::PolicyRouter : public PolicyClient {
  public:
   explicit PolicyRouter(CellInstance& instance) : m_instance(instance) {}
-  void RequestTickets(const std::string& agent, const PolicyRequest& question,
+  void RequestTickets(const std::string& caller, const PolicyRequest& policy_request,
                       std::function<void(PolicyReply)> done) override {
-    m_instance.RequestTickets(agent, question, std::move(done));
+    m_instance.RequestTickets(caller, policy_request, std::move(done));
   }
 
  private:
@@ -87,8 +87,8 @@
                                                   {"may_have_run", may_have_run ? "true" : "false"}});
              return m_ports.codec.EncodeFailure(may_have_run);
            }}),
-      m_leadership(m_ports.store, m_address, rank, cpu_millis < kPreferredLeaderCpuMillis,
-                   [this](const LeaderRecord& record, std::int64_t version) { BeginTerm(record, version); }),
+      m_election(m_ports.store, m_address, rank, cpu_millis < kPreferredLeaderCpuMillis,
+                 [this](const LeaderRecord& record, std::int64_t version) { BeginTerm(record, version); }),
       m_policy_router(std::make_unique<PolicyRouter>(*this)),
       m_leader_unreachable_at(Time{} + kLeaderTimeout) {}
 
@@ -97,25 +97,24 @@
 void CellInstance::OnTick(Time now, std::int64_t unix_now_ms) {
   m_now = now;
   m_unix_now_ms = unix_now_ms;
-  m_leadership.OnTick(now);
+  m_election.OnTick(now);
   if (m_term != nullptr) {
     m_term->OnTick(now, unix_now_ms);
-    if (m_term->journal().is_handed_over()) EndTerm("handed over");
+    if (m_term->committer().is_handed_over()) EndTerm("handed over");
   }
   if (m_is_deposed) EndTerm("another instance took over");
   if (m_term != nullptr) {
     if (now >= m_next_heartbeat_at) SendHeartbeats();
     YieldToLargerInstance();
-    m_relay.SetLeader(true, "", m_term->journal().epoch(), now);
+    m_relay.SetLeader(true, "", m_term->committer().epoch(), now);
     // Preserves the time left until the leader counts as unreachable, for the leader after this term.
-    m_leader_unreachable_at += now - m_last_leader_contact_at;
-    m_last_leader_contact_at = now;
+    m_leader_unreachable_at += now - m_leader_contact_at;
+    m_leader_contact_at = now;
   } else {
-    const std::string& leader = m_leadership.leader_address();
+    const std::string& leader = m_election.leader_address();
     const bool is_known = !leader.empty() && leader != m_address;
-    m_relay.SetLeader(is_known && now < m_leader_unreachable_at, leader, m_leadership.leader_epoch(), now);
-    if (is_known && now >= m_next_announcement_at && now - m_last_leader_contact_at > kAnnouncementInterval)
-      SendJoinAnnouncement();
+    m_relay.SetLeader(is_known && now < m_leader_unreachable_at, leader, m_election.leader_epoch(), now);
+    if (is_known && now >= m_next_join_at && now - m_leader_contact_at > kJoinInterval) SendJoinAnnouncement();
   }
   m_relay.OnTick(now);
   std::erase_if(m_ended_terms, [now](const auto& entry) { return now - entry.first > kEndedTermRetention; });
@@ -130,7 +129,7 @@
   m_term = std::make_unique<CellTerm>(
       m_ports.store, Scheduler::Ports{m_ports.upstreams, *m_policy_router, m_ports.events}, record, version, m_now,
       m_ports.make_feeds, m_ports.request_tick, [this] { m_is_deposed = true; });
-  UpdateAgents();
+  UpdatePolicyCallers();
   if (m_is_stopping) m_term->HandOver("");
   m_ports.request_tick();
 }
@@ -139,11 +138,11 @@
   m_is_deposed = false;
   if (m_term == nullptr) return;
   m_ports.events.Emit("term.ended",
-                      {{"epoch", std::to_string(m_term->journal().epoch())}, {"reason", std::string(reason)}});
-  const bool is_handed_over = m_term->journal().is_handed_over();
+                      {{"epoch", std::to_string(m_term->committer().epoch())}, {"reason", std::string(reason)}});
+  const bool is_handed_over = m_term->committer().is_handed_over();
   m_term->Retire();
   m_ended_terms.emplace_back(m_now, std::move(m_term));
-  m_leadership.OnDeposed(m_now);
+  m_election.OnDeposed(m_now);
   m_relay.SetLeader(false, "", 0, m_now);
   if (!is_handed_over || m_successor.empty()) return;
   m_ports.send_peer(m_successor, PeerMessage(kHeartbeatPath, EncodeHeartbeat({})), m_now + kHeartbeatTimeout,
@@ -194,12 +193,12 @@
     });
   }
   if (request.target == kHeartbeatPath) {
-    const std::optional<Heartbeat> heartbeat = DecodeHeartbeat(request.body);
-    if (heartbeat && heartbeat->record.address.empty()) {
-      m_leadership.RequestRead();
+    const std::optional<Heartbeat> hb = DecodeHeartbeat(request.body);
+    if (hb && hb->record.address.empty()) {
+      m_election.RequestRead();
       m_ports.request_tick();
-    } else if (heartbeat) {
-      OnHeartbeat(*heartbeat);
+    } else if (hb) {
+      OnHeartbeat(*hb);
     }
     return done({kStatusNoContent, {}, ""});
   }
@@ -210,27 +209,27 @@
     entry.cpu_millis = follower->cpu_millis;
     if (entry.joined_at == Time{}) entry.joined_at = m_now;
     entry.last_contact_at = m_now;
-    UpdateAgents();
+    UpdatePolicyCallers();
     return done({kStatusOk, {}, EncodeHeartbeat(BuildHeartbeat())});
   }
   if (request.target == kPolicyCallPath) {
-    const std::optional<PolicyRequest> question = DecodeQuestion(request.body);
-    if (!question) return done({kStatusBadRequest, {}, ""});
-    return m_ports.policy.RequestTickets("", *question, [done](const PolicyReply& answer) {
-      done({answer.is_answered ? kStatusOk : kStatusUnavailable, {}, EncodeAnswer(answer)});
+    const std::optional<PolicyRequest> policy_request = DecodePolicyRequest(request.body);
+    if (!policy_request) return done({kStatusBadRequest, {}, ""});
+    return m_ports.policy.RequestTickets("", *policy_request, [done](const PolicyReply& policy_reply) {
+      done({policy_reply.is_answered ? kStatusOk : kStatusUnavailable, {}, EncodePolicyReply(policy_reply)});
     });
   }
   done({kStatusNotFound, {}, ""});
 }
 
-void CellInstance::RequestTickets(const std::string& agent, const PolicyRequest& question,
+void CellInstance::RequestTickets(const std::string& caller, const PolicyRequest& policy_request,
                                   std::function<void(PolicyReply)> done) {
-  if (agent.empty()) return m_ports.policy.RequestTickets("", question, std::move(done));
-  const Time deadline = m_now + std::chrono::milliseconds(question.expected_ms + kPolicyMarginMs);
-  m_ports.send_peer(agent, PeerMessage(kPolicyCallPath, EncodeQuestion(question)), deadline,
+  if (caller.empty()) return m_ports.policy.RequestTickets("", policy_request, std::move(done));
+  const Time deadline = m_now + std::chrono::milliseconds(policy_request.expected_ms + kPolicyMarginMs);
+  m_ports.send_peer(caller, PeerMessage(kPolicyCallPath, EncodePolicyRequest(policy_request)), deadline,
                     [done = std::move(done)](const PeerResult& result) {
                       const bool is_ok = result.is_answered && result.response.status == kStatusOk;
-                      done(is_ok ? DecodeAnswer(result.response.body).value_or(PolicyReply{}) : PolicyReply{});
+                      done(is_ok ? DecodePolicyReply(result.response.body).value_or(PolicyReply{}) : PolicyReply{});
                     });
 }
 
@@ -240,7 +239,7 @@
   const std::string body = EncodeHeartbeat(BuildHeartbeat());
   const auto removed = std::erase_if(
       m_followers, [this](const auto& entry) { return m_now - entry.second.last_contact_at > kFollowerTimeout; });
-  if (removed > 0) UpdateAgents();
+  if (removed > 0) UpdatePolicyCallers();
   for (auto& [address, follower] : m_followers) {
     if (follower.is_heartbeat_pending) continue;
     follower.is_heartbeat_pending = true;
@@ -255,42 +254,41 @@
 }
 
 void CellInstance::SendJoinAnnouncement() {
-  m_next_announcement_at = m_now + kAnnouncementInterval;
-  m_ports.send_peer(m_leadership.leader_address(),
+  m_next_join_at = m_now + kJoinInterval;
+  m_ports.send_peer(m_election.leader_address(),
                     PeerMessage(kJoinAnnouncementPath, EncodeJoinAnnouncement({m_address, m_cpu_millis})),
                     m_now + kHeartbeatTimeout, [this](const PeerResult& result) {
-                      if (!result.was_sent) m_leadership.OnLeaderConnectionRefused(m_now);
+                      if (!result.was_sent) m_election.OnLeaderConnectionRefused(m_now);
                       if (!result.is_answered || result.response.status != kStatusOk) return;
-                      if (const std::optional<Heartbeat> heartbeat = DecodeHeartbeat(result.response.body))
-                        OnHeartbeat(*heartbeat);
+                      if (const std::optional<Heartbeat> hb = DecodeHeartbeat(result.response.body)) OnHeartbeat(*hb);
                     });
 }
 
 Heartbeat CellInstance::BuildHeartbeat() const {
-  return {m_term->journal().committed_record(), m_term->journal().committed_version()};
+  return {m_term->committer().committed_record(), m_term->committer().committed_version()};
 }
 
-void CellInstance::OnHeartbeat(const Heartbeat& heartbeat) {
-  if (m_term != nullptr || heartbeat.record.epoch < m_leadership.leader_epoch()) return;
-  const Duration gap = std::min(m_now - m_last_leader_contact_at, kMaxHeartbeatGap);
+void CellInstance::OnHeartbeat(const Heartbeat& hb) {
+  if (m_term != nullptr || hb.record.epoch < m_election.leader_epoch()) return;
+  const Duration gap = std::min(m_now - m_leader_contact_at, kMaxHeartbeatGap);
   m_leader_unreachable_at = m_now + std::max(kLeaderTimeout, gap * kMissedHeartbeats);
-  m_last_leader_contact_at = m_now;
-  if (heartbeat.version != m_leader_version) m_leader_version_changed_at = m_now;
-  m_leader_version = heartbeat.version;
-  m_leadership.OnLeaderProgress(heartbeat.record, heartbeat.version, m_now);
+  m_leader_contact_at = m_now;
+  if (hb.version != m_leader_version) m_leader_version_changed_at = m_now;
+  m_leader_version = hb.version;
+  m_election.OnLeaderProgress(hb.record, hb.version, m_now);
 }
 
-void CellInstance::UpdateAgents() {
+void CellInstance::UpdatePolicyCallers() {
   if (m_term == nullptr) return;
-  std::vector<std::string> agents = {""};
-  for (const auto& [address, follower] : m_followers) agents.push_back(address);
-  m_term->SetPolicyCallers(agents);
+  std::vector<std::string> callers = {""};
+  for (const auto& [address, follower] : m_followers) callers.push_back(address);
+  m_term->SetPolicyCallers(callers);
 }
 
 void CellInstance::BeginStop() {
   if (m_is_stopping) return;
   m_is_stopping = true;
-  m_leadership.Retire();
+  m_election.Retire();
   m_ports.events.Emit("instance.stopping", {{"open_calls", std::to_string(m_relay.open_calls())}});
   if (m_term == nullptr) return;
   m_successor = ChooseSuccessor();
@@ -322,9 +320,8 @@
 bool CellInstance::is_ready() const {
   if (m_is_stopping) return false;
   // A leader partitioned from the store may still reach followers on its side, so contact alone is not enough.
-  if (m_term != nullptr) return !m_term->journal().IsStalled(m_now, kReadyStoreTimeout);
-  return m_now - m_last_leader_contact_at < kReadyLeaderTimeout &&
-         m_now - m_leader_version_changed_at < kReadyStoreTimeout;
+  if (m_term != nullptr) return !m_term->committer().IsStalled(m_now, kReadyStoreTimeout);
+  return m_now - m_leader_contact_at < kReadyLeaderTimeout && m_now - m_leader_version_changed_at < kReadyStoreTimeout;
 }
 
 std::map<std::string, double> CellInstance::Gauges() const {
@@ -332,16 +329,15 @@
   std::map<std::string, double> gauges = {
       {"jaymast_leader", m_term != nullptr ? 1 : 0},
       {"jaymast_ready", is_ready() ? 1 : 0},
-      {"jaymast_epoch", static_cast<double>(m_leadership.leader_epoch())},
+      {"jaymast_epoch", static_cast<double>(m_election.leader_epoch())},
       {"jaymast_open_calls", static_cast<double>(m_relay.open_calls())},
   };
   if (m_term == nullptr) {
-    if (m_last_leader_contact_at != Time{})
-      gauges["jaymast_leader_silence_seconds"] = seconds(m_last_leader_contact_at);
+    if (m_leader_contact_at != Time{}) gauges["jaymast_leader_silence_seconds"] = seconds(m_leader_contact_at);
     return gauges;
   }
   const Scheduler& scheduler = m_term->scheduler();
-  gauges["jaymast_unconfirmed_seconds"] = seconds(m_term->journal().confirmed_at());
+  gauges["jaymast_unconfirmed_seconds"] = seconds(m_term->committer().confirmed_at());
   gauges["jaymast_active_jobs"] = static_cast<double>(scheduler.active_jobs());
   gauges["jaymast_known_jobs"] = static_cast<double>(scheduler.known_jobs());
   gauges["jaymast_uncommitted_jobs"] = static_cast<double>(scheduler.uncommitted_jobs());
--- a/src/instance/cell_instance.h
+++ b/src/instance/cell_instance.h
@@ -99,10 +99,11 @@
   void OnHeartbeat(const Heartbeat& heartbeat);
   void SendHeartbeats();
   void SendJoinAnnouncement();
-  void UpdateAgents();
+  void UpdatePolicyCallers();
   void YieldToLargerInstance();
   std::string ChooseSuccessor() const;
-  void RequestTickets(const std::string& agent, const PolicyRequest& question, std::function<void(PolicyReply)> done);
+  void RequestTickets(const std::string& caller, const PolicyRequest& policy_request,
+                      std::function<void(PolicyReply)> done);
 
   Ports m_ports;
   const std::string m_address;
@@ -111,7 +112,7 @@
   std::int64_t m_unix_now_ms = 0;
   const Time m_started_at;
   Relay m_relay;
-  LeaderElection m_leadership;
+  LeaderElection m_election;
   std::unique_ptr<PolicyRouter> m_policy_router;
   std::unique_ptr<CellTerm> m_term;
   std::vector<std::pair<Time, std::unique_ptr<CellTerm>>> m_ended_terms;  ///< kept while open calls may refer to them
@@ -119,8 +120,8 @@
   std::map<std::string, Follower> m_followers;
   Time m_term_began_at{};
   Time m_next_heartbeat_at{};
-  Time m_next_announcement_at{};
-  Time m_last_leader_contact_at{};
+  Time m_next_join_at{};
+  Time m_leader_contact_at{};
   Time m_leader_unreachable_at;        ///< calls are withheld from then on unless the leader makes contact before
   Time m_leader_version_changed_at{};  ///< when the current row version was first reported
   std::int64_t m_leader_version = 0;
--- a/src/instance/cell_term.cc
+++ b/src/instance/cell_term.cc
@@ -26,11 +26,11 @@
       m_scheduler(
           ports, record.epoch, now,
           [this] {
-            m_journal.MarkDirty();
+            m_committer.MarkDirty();
             m_request_tick();
           },
           deposed),
-      m_journal(
+      m_committer(
           store, record, version, [this] { return m_is_loaded ? m_scheduler.CollectBatch() : CommitBatch{}; }, deposed,
           m_request_tick),
       m_feeds(make_feeds(*this)) {}
@@ -38,23 +38,23 @@
 void CellTerm::OnTick(Time now, std::int64_t unix_now_ms) {
   m_now = now;
   m_scheduler.SetNow(now);
-  m_journal.OnTick(now);
+  m_committer.OnTick(now);
   if (!m_are_jobs_loaded && !m_is_reading && now >= m_next_load_at) Load();
   m_feeds->OnTick(now);
-  m_scheduler.SetLeadershipStatus({m_journal.confirmed_at(), m_journal.IsStalled(now, kStoreStallThreshold),
-                                   m_journal.IsStalled(now, kStoreOutageThreshold), m_journal.store_now_ms(now),
+  m_scheduler.SetLeadershipStatus({m_committer.confirmed_at(), m_committer.IsStalled(now, kStoreStallThreshold),
+                                   m_committer.IsStalled(now, kStoreOutageThreshold), m_committer.store_now_ms(now),
                                    unix_now_ms});
   ReportStoreStall();
   if (!m_is_loaded) return;
   m_scheduler.OnTick(now);
-  m_journal.OnTick(now);
+  m_committer.OnTick(now);
 }
 
 void CellTerm::ReportStoreStall() {
-  const bool is_stalled = m_journal.IsStalled(m_now, kStoreStallThreshold);
+  const bool is_stalled = m_committer.IsStalled(m_now, kStoreStallThreshold);
   if (is_stalled == m_is_store_stalled) return;
   m_is_store_stalled = is_stalled;
-  const std::string unconfirmed_ms = std::to_string(ToMillis(m_now - m_journal.confirmed_at()));
+  const std::string unconfirmed_ms = std::to_string(ToMillis(m_now - m_committer.confirmed_at()));
   m_events.Emit(is_stalled ? "store.lost" : "store.regained", {{"unconfirmed_ms", unconfirmed_ms}});
 }
 
@@ -133,7 +133,7 @@
 void CellTerm::CheckLoaded() {
   if (m_is_loaded || !m_are_jobs_loaded || !m_has_config || !m_has_upstream_list) return;
   m_is_loaded = true;
-  m_events.Emit("term.ready", {{"epoch", std::to_string(m_journal.epoch())}});
+  m_events.Emit("term.ready", {{"epoch", std::to_string(m_committer.epoch())}});
   m_request_tick();
 }
 
--- a/src/instance/cell_term.h
+++ b/src/instance/cell_term.h
@@ -29,12 +29,12 @@
   void OnClientCall(const ClientCall& call, const ClientReplyFunction& reply);
   void SetPolicyCallers(const std::vector<std::string>& addresses) { m_scheduler.SetPolicyCallers(addresses); }
   /// Ends the term once everything accepted so far is committed.
-  void HandOver(const std::string& successor) { m_journal.HandOver(successor); }
+  void HandOver(const std::string& successor) { m_committer.HandOver(successor); }
 
   /// Ignores all replies that are still outstanding.
   void Retire() { m_scheduler.Retire(); }
 
-  const GroupCommitter& journal() const { return m_journal; }
+  const GroupCommitter& committer() const { return m_committer; }
   const Scheduler& scheduler() const { return m_scheduler; }
   bool is_loaded() const { return m_is_loaded; }
 
@@ -69,7 +69,7 @@
   const std::function<void()> m_request_tick;
   Time m_now;
   Scheduler m_scheduler;
-  GroupCommitter m_journal;
+  GroupCommitter m_committer;
   std::unique_ptr<CellFeeds> m_feeds;
   std::map<JobId, LoadedJob> m_loaded_jobs;
   std::string m_next_key;
--- a/src/instance/peer_codec.cc
+++ b/src/instance/peer_codec.cc
@@ -48,60 +48,60 @@
   return announcement;
 }
 
-std::string EncodeQuestion(const PolicyRequest& question) {
+std::string EncodePolicyRequest(const PolicyRequest& policy_request) {
   json::array upstreams;
-  for (const UpstreamId& id : question.upstreams) upstreams.emplace_back(id.value());
-  return json::serialize(json::object{{"job", question.job.value()},
-                                      {"occurrence", question.occurrence},
-                                      {"step", question.step},
-                                      {"expected_ms", question.expected_ms},
+  for (const UpstreamId& id : policy_request.upstreams) upstreams.emplace_back(id.value());
+  return json::serialize(json::object{{"job", policy_request.job.value()},
+                                      {"occurrence", policy_request.occurrence},
+                                      {"step", policy_request.step},
+                                      {"expected_ms", policy_request.expected_ms},
                                       {"upstreams", std::move(upstreams)}});
 }
 
-std::optional<PolicyRequest> DecodeQuestion(std::string_view text) {
+std::optional<PolicyRequest> DecodePolicyRequest(std::string_view text) {
   const Result<json::object> object = ParseObject(text, "question");
   if (!object) return std::nullopt;
   FieldReader reader(*object, "question");
-  PolicyRequest question;
-  question.job = JobId(reader.RequiredString("job", kMaxTextBytes));
-  question.occurrence = static_cast<std::size_t>(reader.Int("occurrence", 0, 0, kMaxInt));
-  question.step = static_cast<std::size_t>(reader.Int("step", 0, 0, kMaxInt));
-  question.expected_ms = reader.Int("expected_ms", 0, 0, kMaxInt);
+  PolicyRequest policy_request;
+  policy_request.job = JobId(reader.RequiredString("job", kMaxTextBytes));
+  policy_request.occurrence = static_cast<std::size_t>(reader.Int("occurrence", 0, 0, kMaxInt));
+  policy_request.step = static_cast<std::size_t>(reader.Int("step", 0, 0, kMaxInt));
+  policy_request.expected_ms = reader.Int("expected_ms", 0, 0, kMaxInt);
   if (const json::array* upstreams = reader.Array("upstreams")) {
     for (const json::value& id : *upstreams) {
       if (!id.is_string()) return std::nullopt;
-      question.upstreams.emplace_back(std::string(id.get_string()));
+      policy_request.upstreams.emplace_back(std::string(id.get_string()));
     }
   }
   if (reader.error()) return std::nullopt;
-  return question;
+  return policy_request;
 }
 
-std::string EncodeAnswer(const PolicyReply& answer) {
+std::string EncodePolicyReply(const PolicyReply& policy_reply) {
   json::array tickets;
-  for (const auto& [id, ticket] : answer.tickets) tickets.push_back(json::array{id.value(), ticket});
-  return json::serialize(
-      json::object{{"answered", answer.is_answered}, {"ticket_ms", answer.ticket_ms}, {"tickets", std::move(tickets)}});
+  for (const auto& [id, ticket] : policy_reply.tickets) tickets.push_back(json::array{id.value(), ticket});
+  return json::serialize(json::object{
+      {"answered", policy_reply.is_answered}, {"ticket_ms", policy_reply.ticket_ms}, {"tickets", std::move(tickets)}});
 }
 
-std::optional<PolicyReply> DecodeAnswer(std::string_view text) {
+std::optional<PolicyReply> DecodePolicyReply(std::string_view text) {
   const Result<json::object> object = ParseObject(text, "answer");
   if (!object) return std::nullopt;
   FieldReader reader(*object, "answer");
-  PolicyReply answer;
-  answer.is_answered = reader.Bool("answered", false);
-  answer.ticket_ms = reader.Int("ticket_ms", 0, 0, kMaxInt);
+  PolicyReply policy_reply;
+  policy_reply.is_answered = reader.Bool("answered", false);
+  policy_reply.ticket_ms = reader.Int("ticket_ms", 0, 0, kMaxInt);
   if (const json::array* tickets = reader.Array("tickets")) {
     for (const json::value& row : *tickets) {
       const bool is_pair = row.is_array() && row.get_array().size() == 2 && row.get_array()[0].is_string() &&
                            row.get_array()[1].is_string();
       if (!is_pair) return std::nullopt;
-      answer.tickets.emplace_back(UpstreamId(std::string(row.get_array()[0].get_string())),
-                                  std::string(row.get_array()[1].get_string()));
+      policy_reply.tickets.emplace_back(UpstreamId(std::string(row.get_array()[0].get_string())),
+                                        std::string(row.get_array()[1].get_string()));
     }
   }
   if (reader.error()) return std::nullopt;
-  return answer;
+  return policy_reply;
 }
 
 }  // namespace jaymast
--- a/src/instance/peer_codec.h
+++ b/src/instance/peer_codec.h
@@ -28,9 +28,9 @@
 std::string EncodeJoinAnnouncement(const JoinAnnouncement& announcement);
 std::optional<JoinAnnouncement> DecodeJoinAnnouncement(std::string_view text);
 
-std::string EncodeQuestion(const PolicyRequest& question);
-std::optional<PolicyRequest> DecodeQuestion(std::string_view text);
-std::string EncodeAnswer(const PolicyReply& answer);
-std::optional<PolicyReply> DecodeAnswer(std::string_view text);
+std::string EncodePolicyRequest(const PolicyRequest& policy_request);
+std::optional<PolicyRequest> DecodePolicyRequest(std::string_view text);
+std::string EncodePolicyReply(const PolicyReply& policy_reply);
+std::optional<PolicyReply> DecodePolicyReply(std::string_view text);
 
 }  // namespace jaymast
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -63,7 +63,7 @@
 /// Permits tasks of one step to start on one upstream. Issued by the policy service.
 struct Ticket {
   std::string text;
-  Time expires_at{};
+  Time expiry{};
   std::int64_t incarnation = 0;  ///< incarnation of the upstream for which the ticket is valid
 };
 
--- a/src/tasks/task_dispatch.cc
+++ b/src/tasks/task_dispatch.cc
@@ -415,7 +415,7 @@
   if (found == m_tasks.end()) return;
   const std::string idempotency_row = IdempotencyRowKey(found->second.spec);
   m_journal.Remove(oldest, idempotency_row);
-  m_task_by_idempotency_key.erase(idempotency_row);
+  m_task_by_idem_row.erase(idempotency_row);
   const auto gang = m_gangs.find(found->second.spec.gang);
   if (gang != m_gangs.end() && gang->second.erase(oldest) > 0 && gang->second.empty()) m_gangs.erase(gang);
   m_tasks.erase(found);
--- a/src/tasks/task_manager.cc
+++ b/src/tasks/task_manager.cc
@@ -72,7 +72,7 @@
     submission.tasks.push_back(spec.id);
   }
   AssignGangs(specs, [this] { return GangId(fmt::format("{}-g{}", m_context.self.value(), m_next_gang++)); });
-  m_context.timers.At(wait_until, [this, call] { RespondToSubmission(call, true); });
+  m_context.timers.At(wait_until, [this, call] { FinishSubmission(call, true); });
   for (TaskSpec& spec : specs) Accept(std::move(spec), call);
 }
 
@@ -91,7 +91,7 @@
     const std::string key = IdempotencyRowKey(spec);
     const boost::json::object value = {{"task", id.value()}, {"digest", RequestDigest(spec)}};
     insert = Write{key, boost::json::serialize(value)};
-    m_task_by_idempotency_key.try_emplace(key, id);
+    m_task_by_idem_row.try_emplace(key, id);
   }
   HomeTask& task = m_tasks[id];
   task.spec = std::move(spec);
@@ -101,8 +101,8 @@
   record.kind = JournalRecordKind::kAccepted;
   record.id.task = id;
   record.spec = task.spec;
-  const bool is_repeated = insert && m_task_by_idempotency_key.at(insert->key) != id;
-  if (is_repeated) return AttachToFirst(m_task_by_idempotency_key.at(insert->key), id, submission);
+  const bool is_repeated = insert && m_task_by_idem_row.at(insert->key) != id;
+  if (is_repeated) return AttachToFirst(m_task_by_idem_row.at(insert->key), id, submission);
   m_journal.Append(std::move(record), std::move(insert),
                    [this, id, submission](CommitOutcome outcome) { OnAccepted(id, submission, outcome); });
 }
@@ -148,8 +148,7 @@
   const auto found = m_tasks.find(id);
   const auto open = m_submissions.find(submission);
   if (outcome == CommitOutcome::kUnavailable) {
-    if (!found->second.spec.idempotency_key.empty())
-      m_task_by_idempotency_key.erase(IdempotencyRowKey(found->second.spec));
+    if (!found->second.spec.idempotency_key.empty()) m_task_by_idem_row.erase(IdempotencyRowKey(found->second.spec));
     m_tasks.erase(found);
     m_submissions_by_task.erase(id);
     const Error error{ErrorId::kStoreUnavailable, "", "the acceptance could not be recorded"};
@@ -237,8 +236,7 @@
     const auto task = m_tasks.find(id);
     return task != m_tasks.end() && !task->second.HasOutcome();
   });
-  if (!is_waiting || m_is_draining || m_context.Now() >= open->second.wait_until)
-    RespondToSubmission(submission, false);
+  if (!is_waiting || m_is_draining || m_context.Now() >= open->second.wait_until) FinishSubmission(submission, false);
 }
 
 void TaskManager::CancelIncompleteGang(const Submission& submission) {
@@ -255,14 +253,14 @@
   for (const std::uint64_t submission : submissions) CheckSubmission(submission);
 }
 
-void TaskManager::RespondToSubmission(std::uint64_t call, bool is_timeout) {
+void TaskManager::FinishSubmission(std::uint64_t call, bool is_timeout) {
   const auto open = m_submissions.find(call);
   if (open == m_submissions.end()) return;
   if (open->second.open_accepts > 0) {
     if (!is_timeout || open->second.request == 0) return;
     if (m_context.Now() < open->second.accept_by) {
       // The wait for outcomes is over, but the response must state whether the tasks were accepted.
-      return m_context.timers.At(open->second.accept_by, [this, call] { RespondToSubmission(call, true); });
+      return m_context.timers.At(open->second.accept_by, [this, call] { FinishSubmission(call, true); });
     }
     const RequestId request = open->second.request;
     m_submissions.erase(open);
--- a/src/tasks/task_manager.h
+++ b/src/tasks/task_manager.h
@@ -107,7 +107,7 @@
   void OnDuplicate(std::uint64_t submission, const TaskId& refused, const std::string& digest, const Row& row);
   void FinishAcceptance(std::uint64_t submission);
   void CheckSubmission(std::uint64_t submission);
-  void RespondToSubmission(std::uint64_t submission, bool is_timeout);
+  void FinishSubmission(std::uint64_t submission, bool is_timeout);
   void CancelIncompleteGang(const Submission& submission);
   void CheckSubmissionsOf(const TaskId& task);
 
@@ -170,7 +170,7 @@
   TaskQueue m_queue;
   std::map<TaskId, HomeTask> m_tasks;
   std::map<GangId, std::set<TaskId>> m_gangs;
-  std::map<std::string, TaskId> m_task_by_idempotency_key;  ///< by row key of the idempotency key
+  std::map<std::string, TaskId> m_task_by_idem_row;  ///< by row key of the idempotency key
   std::map<std::uint64_t, Submission> m_submissions;
   std::map<TaskId, std::set<std::uint64_t>> m_submissions_by_task;
   std::map<TaskId, std::vector<std::uint64_t>>
