--- a/src/jobs/cell_config.h
+++ b/src/jobs/cell_config.h
@@ -50,7 +50,7 @@
   std::map<TeamId, TeamConfig> teams;
   std::map<std::string, TeamId, std::less<>> team_of_key;
 
-  /// Returns the queue on this host whose prefix matches most of the path, or nullptr.
+  /// Returns the queue on this host with the longest matching path prefix, or nullptr.
   const QueueConfig* FindQueue(std::string_view host, std::string_view path) const;
 };
 
--- a/src/tasks/home_task.h
+++ b/src/tasks/home_task.h
@@ -15,7 +15,7 @@
 
 namespace jaymast {
 
-/// Phase of a task at its home entry, the entry that accepted it.
+/// Phase of a task at its home entry, the entry that accepted or adopted it.
 enum class HomeTaskPhase {
   kAccepting,  ///< the acceptance is being committed
   kQueued,     ///< waits until a hold can be requested
--- a/src/tasks/task_queries.cc
+++ b/src/tasks/task_queries.cc
@@ -17,7 +17,7 @@
 /// Time allowed for a forwarded query beyond the caller's waiting time.
 constexpr Duration kForwardMargin = std::chrono::seconds(2);
 
-/// Returns the home entry of a task: the part of its id before the last dash.
+/// Returns the entry that accepted a task: the part of its id before the last dash.
 EntryId HomeOf(const TaskId& task) {
   const std::size_t dash = task.value().rfind('-');
   return EntryId(dash == std::string::npos ? std::string() : task.value().substr(0, dash));
--- a/src/tasks/task_queue.h
+++ b/src/tasks/task_queue.h
@@ -17,7 +17,7 @@
  public:
   void Push(WorkClass work_class, const TeamId& team, const TaskId& task);
 
-  /// Removes a task in logarithmic time, so that mass cancellations are cheap.
+  /// Removes a task without scanning the queue, so that mass cancellations are cheap.
   void Erase(const TaskId& task);
 
   /// Removes and returns the next task of a class, from the next team in round-robin order.
