--- a/src/tasks/task_journal.h
+++ b/src/tasks/task_journal.h
@@ -17,10 +17,10 @@
 
 class Membership;
 
-/// Prefix of the journal rows of an entry.
+/// Returns the key prefix of the journal rows of an entry.
 std::string JournalPrefix(const EntryId& home);
 
-/// Writes task records in batches: one row for all records of a flush interval.
+/// Writes task records to the table in batches, one row for each batch of a flush interval.
 class TaskJournal {
  public:
   using Done = std::function<void(CommitOutcome)>;
@@ -30,17 +30,17 @@
   void Start();
 
   /// Adds a record to the next batch.
-  /// @param insert a row that must be absent, written together with the record; kConflict when it exists
+  /// @param insert row written in the same transaction; must not exist yet, else the outcome is kConflict
   void Append(JournalRecord record, std::optional<Write> insert, Done done);
 
-  /// Registers a row that another entry wrote, so that it is deleted once its tasks are forgotten.
+  /// Registers a row written by another entry, so that it is deleted once all its tasks are removed.
   void AddRow(const std::string& key, const std::vector<JournalRecord>& records);
 
-  /// The records of a task are not needed any more. Its rows are deleted when they hold no other task.
-  /// @param extra_row a further row to delete, or empty
-  void Forget(const TaskId& task, const std::string& extra_row);
+  /// Removes a task. Rows that hold no other task are deleted with the next batch.
+  /// @param extra_row key of another row to delete, or empty
+  void Remove(const TaskId& task, const std::string& extra_row);
 
-  /// Whether no record waits or is being written.
+  /// Whether no record is waiting or being written.
   bool IsIdle() const { return m_pending.empty() && m_open_writes == 0; }
 
  private:
@@ -55,15 +55,15 @@
   Batch TakeBatch();
   void WriteBatch(Batch batch);
   void OnConflict(Batch batch);
-  void Register(const std::string& key, const TaskId& task);
+  void AddTaskToRow(const std::string& key, const TaskId& task);
 
   Context& m_context;
   TableClient& m_table;
   const Membership& m_membership;
   std::vector<Pending> m_pending;
-  std::map<std::string, std::set<TaskId>> m_rows;
-  std::map<TaskId, std::set<std::string>> m_rows_of_task;
-  std::vector<std::string> m_deletable;
+  std::map<std::string, std::set<TaskId>> m_tasks_by_row;
+  std::map<TaskId, std::set<std::string>> m_rows_by_task;
+  std::vector<std::string> m_rows_to_delete;
   std::uint64_t m_next_row = 1;
   int m_open_writes = 0;
 };
