--- a/src/cell/admission_controller.cc
+++ b/src/cell/admission_controller.cc
@@ -9,14 +9,14 @@
 /// An organisation may send this many seconds of its weight at once.
 constexpr double kBurstSeconds = 2.0;
 /// Work of an organisation beyond its weight is admitted only while the queue is below this time.
-constexpr double kBorrowBoundS = 0.5;
+constexpr double kMaxWaitBeyondWeightS = 0.5;
 /// Part of the slack that waiting may use up; the rest covers rough estimates and uneven room.
-constexpr double kSlackShare = 0.8;
+constexpr double kMaxSlackShare = 0.8;
 constexpr std::int64_t kMaxRetryAfterS = 10;
 
 }  // namespace
 
-AdmissionDecision Admission::Decide(const TeamId& team, const AdmissionLoad& load, Time now) {
+AdmissionDecision AdmissionController::Decide(const TeamId& team, const AdmissionLoad& load, Time now) {
   Bucket& bucket = m_buckets[team];
   const double burst = std::max(1.0, load.weight * kBurstSeconds);
   if (bucket.is_new) {
@@ -28,15 +28,15 @@
   }
   // Tasks that fit into the free room wait for tickets or a commit only, not for other work to end.
   const double blocked_share =
-      load.urgent_cores > load.free_cores ? (load.urgent_cores - load.free_cores) / load.urgent_cores : 0;
-  const double wait_s = load.total_cores > 0 ? load.urgent_core_s * blocked_share / load.total_cores : kMaxRetryAfterS;
-  const bool is_owed = bucket.tokens >= 1.0;
-  const double bound_s = is_owed ? load.slack_s * kSlackShare : kBorrowBoundS;
-  if (wait_s > bound_s) {
-    const auto retry_s = static_cast<std::int64_t>(std::ceil(wait_s - bound_s));
+      load.queued_cores > load.free_cores ? (load.queued_cores - load.free_cores) / load.queued_cores : 0;
+  const double wait_s = load.total_cores > 0 ? load.queued_core_s * blocked_share / load.total_cores : kMaxRetryAfterS;
+  const bool is_within_weight = bucket.tokens >= 1.0;
+  const double max_wait_s = is_within_weight ? load.slack_s * kMaxSlackShare : kMaxWaitBeyondWeightS;
+  if (wait_s > max_wait_s) {
+    const auto retry_s = static_cast<std::int64_t>(std::ceil(wait_s - max_wait_s));
     return {false, std::clamp<std::int64_t>(retry_s, 1, kMaxRetryAfterS)};
   }
-  if (is_owed) bucket.tokens -= 1.0;
+  if (is_within_weight) bucket.tokens -= 1.0;
   return {true, 0};
 }
 
--- a/src/cell/admission_controller.h
+++ b/src/cell/admission_controller.h
@@ -12,8 +12,8 @@
 struct AdmissionLoad {
   double total_cores = 0;
   double free_cores = 0;     ///< of total_cores, not held by any task
-  double urgent_cores = 0;   ///< demand of the waiting tasks that come before the job
-  double urgent_core_s = 0;  ///< their work
+  double queued_cores = 0;   ///< demand of the waiting tasks that come before the job
+  double queued_core_s = 0;  ///< their work
   double slack_s = 0;        ///< time that the job can wait and still be timely
   double weight = 1;         ///< jobs a second that the organisation is owed
 };
@@ -24,7 +24,7 @@
 };
 
 /// Decides at arrival whether a job can still be served in time.
-class Admission {
+class AdmissionController {
  public:
   AdmissionDecision Decide(const TeamId& team, const AdmissionLoad& load, Time now);
 
--- a/src/cell/admission_controller_test.cc
+++ b/src/cell/admission_controller_test.cc
@@ -11,38 +11,38 @@
 AdmissionLoad FullCell() {
   AdmissionLoad load;
   load.total_cores = 1000;
-  load.urgent_cores = 500;
-  load.urgent_core_s = 500;
+  load.queued_cores = 500;
+  load.queued_core_s = 500;
   load.slack_s = 1;
   load.weight = 10;
   return load;
 }
 
 // Guards against refusals while upstreams are free: a burst that waits for tickets is not waiting for room.
-TEST(AdmissionTest, BurstThatFitsIntoFreeRoomIsAdmitted) {
-  Admission admission;
+TEST(AdmissionControllerTest, BurstThatFitsIntoFreeRoomIsAdmitted) {
+  AdmissionController admission;
   AdmissionLoad load = FullCell();
-  load.urgent_core_s = 5000;
+  load.queued_core_s = 5000;
   load.free_cores = 600;
   EXPECT_TRUE(admission.Decide(TeamId("a"), load, Time(Duration(1))).is_admitted);
 }
 
 // Guards against jobs that are accepted although the queue ahead of them is longer than they can wait.
-TEST(AdmissionTest, JobThatWouldBeLateIsRefusedWithTheTimeUntilItWouldNot) {
-  Admission admission;
+TEST(AdmissionControllerTest, JobThatWouldBeLateIsRefusedWithTheTimeUntilItWouldNot) {
+  AdmissionController admission;
   AdmissionLoad load = FullCell();
   EXPECT_TRUE(admission.Decide(TeamId("a"), load, Time(Duration(1))).is_admitted);
-  load.urgent_core_s = 4000;
+  load.queued_core_s = 4000;
   const AdmissionDecision decision = admission.Decide(TeamId("a"), load, Time(Duration(1)));
   EXPECT_FALSE(decision.is_admitted);
   EXPECT_EQ(decision.retry_after_s, 4) << "3.2 s until the queue is at four fifths of the slack";
 }
 
 // Guards against one organisation that fills the queue for all others.
-TEST(AdmissionTest, OrganisationBeyondItsWeightIsRefusedFirst) {
-  Admission admission;
+TEST(AdmissionControllerTest, OrganisationBeyondItsWeightIsRefusedFirst) {
+  AdmissionController admission;
   AdmissionLoad load = FullCell();
-  load.urgent_core_s = 600;
+  load.queued_core_s = 600;
   Time now(Duration(1'000'000));
   int admitted = 0;
   for (int i = 0; i < 100; ++i) admitted += admission.Decide(TeamId("hot"), load, now).is_admitted ? 1 : 0;
@@ -53,8 +53,8 @@
 }
 
 // Guards against endless accepting while no upstream can be used.
-TEST(AdmissionTest, CellWithoutUpstreamsAdmitsNothing) {
-  Admission admission;
+TEST(AdmissionControllerTest, CellWithoutUpstreamsAdmitsNothing) {
+  AdmissionController admission;
   AdmissionLoad load = FullCell();
   load.total_cores = 0;
   EXPECT_FALSE(admission.Decide(TeamId("a"), load, Time(Duration(1))).is_admitted);
--- a/src/cell/group_committer.cc
+++ b/src/cell/group_committer.cc
@@ -6,13 +6,13 @@
 namespace {
 
 /// Pause between two transactions with changes, which groups the changes of a burst.
-constexpr Duration kBatchPause{10'000};
+constexpr Duration kBatchInterval{10'000};
 /// Transactions without changes show the followers that the leader lives; well below the takeover silence.
-constexpr Duration kIdlePause{250'000};
+constexpr Duration kIdleCommitInterval{250'000};
 /// Pause before a refused or unanswered transaction is sent again.
-constexpr Duration kRetryPause{40'000};
+constexpr Duration kRetryDelay{40'000};
 /// An answer that takes longer is counted as an outage of the store.
-constexpr Duration kSlowAnswer{400'000};
+constexpr Duration kSlowReplyBound{400'000};
 
 }  // namespace
 
@@ -40,24 +40,24 @@
     if (m_is_deposed || m_is_handed_over) return;
   }
   if (m_in_flight) {
-    if (now - m_sent_at > kSlowAnswer && !m_failing_since) m_failing_since = m_sent_at;
+    if (now - m_sent_at > kSlowReplyBound && !m_failing_since) m_failing_since = m_sent_at;
     return;
   }
   if (now < m_next_send) return;
   if (m_transaction) return Send(now);
-  const bool wants_last = m_wants_handover && !m_is_dirty;
-  if (!m_is_dirty && !wants_last && now - m_sent_at < kIdlePause) return;
+  const bool is_handover = m_wants_handover && !m_is_dirty;
+  if (!m_is_dirty && !is_handover && now - m_sent_at < kIdleCommitInterval) return;
   m_is_dirty = false;
   StateTransaction transaction;
   transaction.guard_table = kLeaderTable;
   transaction.guard_key = kLeaderKey;
   transaction.guard_version = m_guard_version;
   CommitBatch batch;
-  if (!wants_last) batch = m_collect();
-  m_is_handover_sent = wants_last;
+  if (!is_handover) batch = m_collect();
+  m_is_handover_sent = is_handover;
   LeaderRecord record = m_record;
   ++record.sequence;
-  if (wants_last) {
+  if (is_handover) {
     record.address.clear();
     record.successor = m_successor;
   }
@@ -99,7 +99,7 @@
     case StateStatus::kRefused:
     case StateStatus::kUnknown:
       if (!m_failing_since) m_failing_since = m_sent_at;
-      m_next_send = m_now + kRetryPause;
+      m_next_send = m_now + kRetryDelay;
       return;
   }
 }
@@ -110,7 +110,7 @@
   // The transaction may have taken effect as early as its first copy was sent.
   m_confirmed_at = m_first_sent_at;
   m_failing_since.reset();
-  m_next_send = m_first_sent_at + kBatchPause;
+  m_next_send = m_first_sent_at + kBatchInterval;
   m_transaction.reset();
   if (m_is_handover_sent) m_is_handed_over = true;
   const auto committed = std::exchange(m_committed, nullptr);
--- a/src/cell/leader_election.cc
+++ b/src/cell/leader_election.cc
@@ -7,23 +7,24 @@
 namespace {
 
 /// Pause between two reads of the leader row while the leader shows no progress.
-constexpr Duration kReadPause{150'000};
+constexpr Duration kReadInterval{150'000};
 /// Instances of rank 0 to 7 start their attempts this much apart, so that most need not write.
-constexpr Duration kRankPause{15'000};
+constexpr Duration kRankDelay{15'000};
 constexpr std::uint64_t kRanks = 8;
 /// Weak instances leave this much time to the others.
-constexpr Duration kWeakPause{400'000};
+constexpr Duration kLowPriorityDelay{400'000};
 /// Others leave the named successor this much time after a handover.
-constexpr Duration kSuccessorLead{250'000};
+constexpr Duration kSuccessorHeadStart{250'000};
 
 }  // namespace
 
-LeaderElection::LeaderElection(StateStore& store, std::string address, std::uint64_t rank, bool is_weak,
-                               ElectedCallback won)
+LeaderElection::LeaderElection(StateStore& store, std::string address, std::uint64_t rank, bool is_low_priority,
+                               ElectedCallback on_elected)
     : m_store(store),
       m_address(std::move(address)),
-      m_lead(kRankPause * static_cast<std::int64_t>(rank % kRanks) + (is_weak ? kWeakPause : Duration::zero())),
-      m_won(std::move(won)) {}
+      m_delay(kRankDelay * static_cast<std::int64_t>(rank % kRanks) +
+              (is_low_priority ? kLowPriorityDelay : Duration::zero())),
+      m_on_elected(std::move(on_elected)) {}
 
 void LeaderElection::OnTick(Time now) {
   m_now = now;
@@ -35,7 +36,7 @@
 
 void LeaderElection::OnLeaderProgress(const LeaderRecord& record, std::int64_t version, Time now) {
   if (m_is_leader || record.epoch < m_leader.epoch) return;
-  m_is_refused = false;
+  m_is_connection_refused = false;
   if (record.epoch == m_leader.epoch && record.sequence <= m_leader.sequence && record.address == m_leader.address) {
     return;
   }
@@ -46,7 +47,7 @@
 }
 
 void LeaderElection::OnLeaderConnectionRefused(Time now) {
-  m_is_refused = true;
+  m_is_connection_refused = true;
   m_progress_at = Time{};
   m_next_read = std::min(m_next_read, now);
 }
@@ -71,7 +72,7 @@
 
 void LeaderElection::OnRow(Time sent_at, const StateScanReply& reply) {
   m_is_reading = false;
-  m_next_read = m_now + kReadPause;
+  m_next_read = m_now + kReadInterval;
   if (m_is_leader) return;
   if (!reply.is_available) {
     // Silence of the leader during an outage of the store is no sign that it is gone.
@@ -95,11 +96,12 @@
   const bool is_vacant = m_leader.address.empty();
   if (is_vacant && (version == 0 || m_leader.successor == m_address)) return Campaign();
   // A row with the address of this instance is left over from an earlier process at it.
-  const bool is_strong = m_lead < kWeakPause;
-  if (m_leader.address == m_address && is_strong) return Campaign();
-  const Duration needed = is_vacant ? kSuccessorLead : (m_is_refused ? kRefusedElectionTimeout : kElectionTimeout);
-  const Duration silence = needed + m_lead;
-  if (sent_at - m_version_seen_at >= silence) Campaign();
+  const bool is_high_priority = m_delay < kLowPriorityDelay;
+  if (m_leader.address == m_address && is_high_priority) return Campaign();
+  const Duration needed =
+      is_vacant ? kSuccessorHeadStart : (m_is_connection_refused ? kRefusedElectionTimeout : kElectionTimeout);
+  const Duration timeout = needed + m_delay;
+  if (sent_at - m_version_seen_at >= timeout) Campaign();
 }
 
 void LeaderElection::Campaign() {
@@ -117,7 +119,7 @@
     if (reply.status == StateStatus::kDone) {
       m_is_leader = true;
       m_leader = record;
-      return m_won(record, reply.version);
+      return m_on_elected(record, reply.version);
     }
     // An attempt without an answer may still win. The next read shows the row with this address, which no journal
     // rewrites, so it falls silent and is taken over like that of any other leader.
--- a/src/cell/leader_election.h
+++ b/src/cell/leader_election.h
@@ -24,7 +24,8 @@
   /// @param address peer address of this instance
   /// @param rank spreads the attempts of instances over time
   /// @param is_weak whether the instance leads only if no stronger one does
-  LeaderElection(StateStore& store, std::string address, std::uint64_t rank, bool is_weak, ElectedCallback won);
+  LeaderElection(StateStore& store, std::string address, std::uint64_t rank, bool is_low_priority,
+                 ElectedCallback on_elected);
 
   void OnTick(Time now);
 
@@ -62,8 +63,8 @@
 
   StateStore& m_store;
   const std::string m_address;
-  const Duration m_lead;  ///< time that this instance leaves to others
-  const ElectedCallback m_won;
+  const Duration m_delay;  ///< time that this instance leaves to others
+  const ElectedCallback m_on_elected;
   bool m_is_leader = false;
   bool m_is_retired = false;
   bool m_is_reading = false;
@@ -72,7 +73,7 @@
   std::optional<std::int64_t> m_version;  ///< of the row as last read; 0 when absent
   Time m_version_seen_at{};               ///< when the row was first read with this version
   Time m_progress_at{};
-  bool m_is_refused = false;  ///< nobody listens at the address of the leader
+  bool m_is_connection_refused = false;  ///< nobody listens at the address of the leader
   Time m_next_read{};
   Time m_now{};
 };
--- a/src/cell/policy_call_dispatcher.cc
+++ b/src/cell/policy_call_dispatcher.cc
@@ -9,67 +9,67 @@
 /// Two short calls keep an instance busy across the round trip between instances.
 constexpr int kMaxOpenShort = 2;
 /// One in this many instances is kept for short calls.
-constexpr std::size_t kShortShare = 4;
+constexpr std::size_t kInstancesPerShortCallReserve = 4;
 /// An instance whose call had no answer is left out this long.
-constexpr Duration kBlockTime{1'000'000};
+constexpr Duration kFailureBackoff{1'000'000};
 
 }  // namespace
 
 void PolicyCallDispatcher::SetPolicyCallers(const std::vector<std::string>& addresses) {
-  std::map<std::string, Agent> agents;
+  std::map<std::string, Caller> callers;
   for (const std::string& address : addresses) {
-    const auto found = m_agents.find(address);
-    agents[address] = found == m_agents.end() ? Agent{} : found->second;
+    const auto found = m_callers.find(address);
+    callers[address] = found == m_callers.end() ? Caller{} : found->second;
   }
-  m_agents = std::move(agents);
+  m_callers = std::move(callers);
 }
 
 std::size_t PolicyCallDispatcher::LongLimit() const {
-  const std::size_t count = m_agents.size();
+  const std::size_t count = m_callers.size();
   if (count < 2) return count;
-  return count - (count + kShortShare - 1) / kShortShare;
+  return count - (count + kInstancesPerShortCallReserve - 1) / kInstancesPerShortCallReserve;
 }
 
-std::optional<std::string> PolicyCallDispatcher::Pick(std::int64_t expected_ms, Time now) const {
+std::optional<std::string> PolicyCallDispatcher::FindCaller(std::int64_t expected_ms, Time now) const {
   const bool is_short = expected_ms <= kShortCallMs;
   if (!is_short && m_open_long >= LongLimit()) return std::nullopt;
   std::optional<std::string> best;
   int best_open = is_short ? kMaxOpenShort : 1;
-  for (const auto& [address, agent] : m_agents) {
-    if (agent.blocked_until > now || agent.open_long > 0 || agent.open_short >= best_open) continue;
-    best_open = agent.open_short;
+  for (const auto& [address, caller] : m_callers) {
+    if (caller.blocked_until > now || caller.open_long > 0 || caller.open_short >= best_open) continue;
+    best_open = caller.open_short;
     best = address;
   }
   return best;
 }
 
-bool PolicyCallDispatcher::HasRoom(std::int64_t expected_ms, Time now) const {
-  return Pick(expected_ms, now).has_value();
+bool PolicyCallDispatcher::CanCall(std::int64_t expected_ms, Time now) const {
+  return FindCaller(expected_ms, now).has_value();
 }
 
-bool PolicyCallDispatcher::TryAsk(const PolicyRequest& question, Time now,
-                                  std::function<void(const PolicyReply&)> done) {
-  const std::optional<std::string> picked = Pick(question.expected_ms, now);
+bool PolicyCallDispatcher::TryCall(const PolicyRequest& request, Time now,
+                                   std::function<void(const PolicyReply&)> done) {
+  const std::optional<std::string> picked = FindCaller(request.expected_ms, now);
   if (!picked) return false;
   const std::string& address = *picked;
-  Agent* agent = &m_agents[address];
-  const bool is_short = question.expected_ms <= kShortCallMs;
+  Caller* caller = &m_callers[address];
+  const bool is_short = request.expected_ms <= kShortCallMs;
   if (is_short) {
-    ++agent->open_short;
+    ++caller->open_short;
   } else {
-    ++agent->open_long;
+    ++caller->open_long;
     ++m_open_long;
   }
-  m_port.RequestTickets(address, question,
-                        [this, address, is_short, now, done = std::move(done)](const PolicyReply& answer) {
+  m_port.RequestTickets(address, request,
+                        [this, address, is_short, now, done = std::move(done)](const PolicyReply& reply) {
                           if (!is_short) --m_open_long;
-                          const auto found = m_agents.find(address);
-                          if (found != m_agents.end()) {
+                          const auto found = m_callers.find(address);
+                          if (found != m_callers.end()) {
                             int& open = is_short ? found->second.open_short : found->second.open_long;
                             open = std::max(0, open - 1);
-                            if (!answer.is_answered) found->second.blocked_until = now + kBlockTime;
+                            if (!reply.is_answered) found->second.blocked_until = now + kFailureBackoff;
                           }
-                          done(answer);
+                          done(reply);
                         });
   return true;
 }
--- a/src/cell/policy_call_dispatcher.h
+++ b/src/cell/policy_call_dispatcher.h
@@ -24,28 +24,28 @@
   void SetPolicyCallers(const std::vector<std::string>& addresses);
 
   /// Whether a call of this length would be made now.
-  bool HasRoom(std::int64_t expected_ms, Time now) const;
+  bool CanCall(std::int64_t expected_ms, Time now) const;
 
   /// Makes a call if an instance has room for it.
   /// @return whether the call was made; only then is `done` called
-  bool TryAsk(const PolicyRequest& question, Time now, std::function<void(const PolicyReply&)> done);
+  bool TryCall(const PolicyRequest& request, Time now, std::function<void(const PolicyReply&)> done);
 
   /// Calls up to this length count as short.
   static constexpr std::int64_t kShortCallMs = 60;
 
  private:
-  struct Agent {
+  struct Caller {
     int open_short = 0;
     int open_long = 0;
     Time blocked_until{};  ///< after a call without an answer
   };
 
   /// Address of the instance that should make the call, or nothing when all are busy.
-  std::optional<std::string> Pick(std::int64_t expected_ms, Time now) const;
+  std::optional<std::string> FindCaller(std::int64_t expected_ms, Time now) const;
   std::size_t LongLimit() const;
 
   PolicyClient& m_port;
-  std::map<std::string, Agent> m_agents;
+  std::map<std::string, Caller> m_callers;
   std::size_t m_open_long = 0;
 };
 
--- a/src/cell/policy_client.h
+++ b/src/cell/policy_client.h
@@ -33,7 +33,7 @@
  public:
   virtual ~PolicyClient() = default;
   /// @param agent peer address of the instance that makes the call, empty for this one
-  virtual void RequestTickets(const std::string& agent, const PolicyRequest& question,
+  virtual void RequestTickets(const std::string& caller, const PolicyRequest& request,
                               std::function<void(PolicyReply)> done) = 0;
 };
 
--- a/src/cell/record_log.h
+++ b/src/cell/record_log.h
@@ -24,13 +24,13 @@
 /// are gone, or the job would come back to life.
 class RecordLog {
  public:
-  struct Item {
+  struct RecordRef {
     JobId job;
     RecordKind kind = RecordKind::kJob;
   };
 
   /// Takes over a row of an earlier leader. Rows come in ascending order of their keys.
-  void AddLoaded(const StateRow& row, const std::vector<LogRecord>& records);
+  void AddLoadedRow(const StateRow& row, const std::vector<LogRecord>& records);
 
   void Put(const JobId& job, RecordKind kind, std::string_view text);
 
@@ -38,7 +38,7 @@
   void Forget(const JobId& job);
 
   /// Records to be put again with the next writes, so that rows can be removed; empty while the rows are well filled.
-  std::vector<Item> ItemsToMove() const;
+  std::vector<RecordRef> RecordsToCompact() const;
 
   /// Rows written since the last call, and removals of rows without a record that counts.
   std::vector<StateWrite> TakeWrites();
@@ -54,26 +54,26 @@
     std::size_t live_bytes = 0;
   };
   /// Position of a record that counts.
-  struct Slot {
+  struct RecordPosition {
     std::int64_t row = 0;  ///< 0 if there is none
     std::size_t bytes = 0;
   };
-  struct Place {
-    Slot job;  ///< kJob, kFinal or kGone
-    Slot progress;
+  struct JobRecords {
+    RecordPosition job;  ///< kJob, kFinal or kGone
+    RecordPosition progress;
     RecordKind job_kind = RecordKind::kJob;
     int mentions = 0;  ///< records in all rows that exist, superseded ones too
   };
 
-  void Index(const JobId& job, RecordKind kind, std::int64_t row, std::size_t bytes);
-  void Retire(Slot& slot);
+  void AddToIndex(const JobId& job, RecordKind kind, std::int64_t row, std::size_t bytes);
+  void Supersede(RecordPosition& position);
   /// Drops the last record of a job that is gone, once nothing older is left.
-  void RetireIfLast(Place& place);
+  void DropTombstoneIfLast(JobRecords& job_records);
 
   std::map<std::int64_t, Row> m_rows;
-  std::unordered_map<JobId, Place> m_places;
-  std::map<std::int64_t, std::string> m_pending;  ///< text of the rows that the next transaction writes
-  std::set<std::int64_t> m_dead;                  ///< rows without a record that counts
+  std::unordered_map<JobId, JobRecords> m_job_records;
+  std::map<std::int64_t, std::string> m_pending_rows;  ///< text of the rows that the next transaction writes
+  std::set<std::int64_t> m_dead_rows;                  ///< rows without a record that counts
   std::size_t m_pending_bytes = 0;
   std::size_t m_live_bytes = 0;
   std::int64_t m_next_row = 1;
--- a/src/cell/record_log_test.cc
+++ b/src/cell/record_log_test.cc
@@ -15,12 +15,12 @@
 using Rows = std::map<std::string, std::string>;
 
 /// What a successor finds of a job.
-struct Found {
+struct FoundJob {
   RecordKind kind = RecordKind::kTombstone;
   std::string text;
   std::string progress;
 
-  friend bool operator==(const Found&, const Found&) = default;
+  friend bool operator==(const FoundJob&, const FoundJob&) = default;
 };
 
 std::size_t Apply(RecordLog& log, Rows& rows) {
@@ -36,14 +36,14 @@
 }
 
 /// Reads rows as a successor does.
-std::map<std::string, Found> ReadAll(const Rows& rows, RecordLog* log = nullptr) {
-  std::map<std::string, Found> found;
+std::map<std::string, FoundJob> ReadAll(const Rows& rows, RecordLog* log = nullptr) {
+  std::map<std::string, FoundJob> found;
   for (const auto& [key, text] : rows) {
     const auto records = DecodeLogRow(text);
     EXPECT_TRUE(records.has_value());
-    if (log != nullptr) log->AddLoaded({kRecordTable, key, text, 0}, *records);
+    if (log != nullptr) log->AddLoadedRow({kRecordTable, key, text, 0}, *records);
     for (const LogRecord& record : *records) {
-      Found& job = found[record.job.value()];
+      FoundJob& job = found[record.job.value()];
       if (record.kind == RecordKind::kProgress) {
         job.progress = record.text;
       } else {
@@ -65,9 +65,9 @@
   explicit Workload(unsigned seed) : m_random(seed) {}
 
   void Step(RecordLog& log) {
-    const std::size_t action = Pick(10);
+    const std::size_t action = FindCaller(10);
     if (action < 3 || open.empty()) return Open(log);
-    const std::string job = open[Pick(open.size())];
+    const std::string job = open[FindCaller(open.size())];
     if (action < 8) {
       expected[job].progress = Text(40);
       log.Put(JobId(job), RecordKind::kProgress, expected[job].progress);
@@ -77,7 +77,7 @@
     log.Put(JobId(job), RecordKind::kFinal, expected[job].text);
     std::erase(open, job);
     ended.push_back(job);
-    if (ended.size() > kShownJobs) {
+    if (ended.size() > kRetainedJobs) {
       log.Forget(JobId(ended.front()));
       // A successor may still show a job that the leader has forgotten, but only as ended.
       forgotten[ended.front()] = expected[ended.front()];
@@ -86,8 +86,8 @@
     }
   }
 
-  void Move(RecordLog& log) const {
-    for (const RecordLog::Item& item : log.ItemsToMove()) {
+  void Compact(RecordLog& log) const {
+    for (const RecordLog::RecordRef& item : log.RecordsToCompact()) {
       const auto found = expected.find(item.job.value());
       const bool is_gone = found == expected.end();
       const bool is_progress = item.kind == RecordKind::kProgress;
@@ -96,7 +96,7 @@
     }
   }
 
-  void Check(const std::map<std::string, Found>& found) const {
+  void Check(const std::map<std::string, FoundJob>& found) const {
     for (const auto& [job, state] : expected) {
       const auto entry = found.find(job);
       ASSERT_NE(entry, found.end()) << job;
@@ -110,15 +110,17 @@
     }
   }
 
-  std::size_t Pick(std::size_t count) { return std::uniform_int_distribution<std::size_t>(0, count - 1)(m_random); }
+  std::size_t FindCaller(std::size_t count) {
+    return std::uniform_int_distribution<std::size_t>(0, count - 1)(m_random);
+  }
 
-  std::map<std::string, Found> expected;
-  std::map<std::string, Found> forgotten;
+  std::map<std::string, FoundJob> expected;
+  std::map<std::string, FoundJob> forgotten;
   std::vector<std::string> open;
   std::vector<std::string> ended;
 
  private:
-  static constexpr std::size_t kShownJobs = 300;
+  static constexpr std::size_t kRetainedJobs = 300;
 
   void Open(RecordLog& log) {
     const std::string job = "job" + std::to_string(++m_jobs);
@@ -126,7 +128,7 @@
     expected[job] = {RecordKind::kJob, Text(200), ""};
     log.Put(JobId(job), RecordKind::kJob, expected[job].text);
   }
-  std::string Text(std::size_t bytes) { return std::string(bytes, static_cast<char>('a' + Pick(26))); }
+  std::string Text(std::size_t bytes) { return std::string(bytes, static_cast<char>('a' + FindCaller(26))); }
 
   std::mt19937 m_random;
   int m_jobs = 0;
@@ -139,10 +141,10 @@
     Rows rows;
     auto log = std::make_unique<RecordLog>();
     for (int transaction = 0; transaction < 1'500; ++transaction) {
-      for (std::size_t i = load.Pick(6); i > 0; --i) load.Step(*log);
-      load.Move(*log);
+      for (std::size_t i = load.FindCaller(6); i > 0; --i) load.Step(*log);
+      load.Compact(*log);
       EXPECT_LE(Apply(*log, rows), 99U);
-      const bool is_takeover = load.Pick(400) == 0;
+      const bool is_takeover = load.FindCaller(400) == 0;
       if (is_takeover) log = std::make_unique<RecordLog>();
       if (is_takeover || transaction % 50 == 0) load.Check(ReadAll(rows, is_takeover ? log.get() : nullptr));
     }
--- a/src/cell/refused_calls.h
+++ b/src/cell/refused_calls.h
@@ -18,7 +18,7 @@
   void Add(const std::string& call_id, Time now) {
     if (call_id.empty()) return;
     m_ids.insert(call_id);
-    m_order.emplace_back(now + kMemory, call_id);
+    m_order.emplace_back(now + kRetention, call_id);
   }
 
   bool Contains(const std::string& call_id, Time now) {
@@ -31,7 +31,7 @@
 
  private:
   /// A copy that is held up by a cut arrives within this time; cuts last 10 s at most.
-  static constexpr Duration kMemory{15'000'000};
+  static constexpr Duration kRetention{15'000'000};
 
   std::set<std::string> m_ids;
   std::deque<std::pair<Time, std::string>> m_order;
--- a/src/cell/scheduler.cc
+++ b/src/cell/scheduler.cc
@@ -13,23 +13,23 @@
 /// A transaction carries at most 1 MB; rows are encoded with a third more.
 constexpr std::size_t kMaxBatchBytes = 500'000;
 /// The chain of an objective counts one policy call that names this many upstreams for each step.
-constexpr double kPolicyNamesInObjective = 30;
+constexpr double kUpstreamsPerCallInObjective = 30;
 /// Ended jobs are shown for this time; clients may ask for 120 s.
-constexpr Duration kKeepEnded{300'000'000};
+constexpr Duration kEndedJobRetention{300'000'000};
 /// A job is worth something until this multiple of its objective.
 constexpr int kLateFactor = 3;
 
 }  // namespace
 
 Scheduler::Scheduler(Ports ports, std::uint64_t epoch, Time now, std::function<void()> mark_dirty,
-                     std::function<void()> fenced)
+                     std::function<void()> on_fenced)
     : m_ports(ports),
       m_epoch(epoch),
       m_took_over_at(now),
       m_mark_dirty(std::move(mark_dirty)),
-      m_fenced(std::move(fenced)),
+      m_on_fenced(std::move(on_fenced)),
       m_now(now),
-      m_desk(ports.policy) {}
+      m_policy_calls(ports.policy) {}
 
 void Scheduler::LoadJob(Job job, std::int64_t age_ms) {
   job.accepted = m_now - std::chrono::milliseconds(age_ms);
@@ -43,9 +43,9 @@
   for (auto& [id, job] : m_jobs) {
     if (IsSettled(*job)) {
       if (job->is_final_recorded) {
-        m_ended.emplace_back(m_now + kKeepEnded, id);
+        m_ended.emplace_back(m_now + kEndedJobRetention, id);
       } else {
-        Mark(*job);
+        MarkChanged(*job);
       }
       continue;
     }
@@ -61,7 +61,7 @@
         for (std::size_t i = 0; i < step.tasks.size(); ++i) {
           TaskState& task = step.tasks[i];
           if (!HasAllocation(task.phase)) continue;
-          Hold(*job, TaskKey{id, k, s, i}, task, task.upstream);
+          AllocateCapacity(*job, TaskKey{id, k, s, i}, task, task.upstream);
           // The earlier leader may have sent the start after it committed the assignment.
           if (task.phase == TaskPhase::kAssigned) task.phase = TaskPhase::kStarting;
           if (task.phase == TaskPhase::kStopping) {
@@ -81,24 +81,24 @@
   m_config = std::move(config);
   for (const QueueConfig& queue : m_config->queues) m_known_queues[queue.id] = queue;
   for (const auto& [id, job] : m_active) SetObjective(*job);
-  m_needs_placing = true;
+  m_needs_placement = true;
 }
 
 void Scheduler::OnDomainsOutOfService(std::set<DomainId> domains) {
-  if (domains == m_domains_out) return;
+  if (domains == m_domains_out_of_service) return;
   std::string names;
   for (const DomainId& domain : domains) names += domain.value() + " ";
   m_ports.events.Emit("domains.out", {{"domains", names}});
-  m_domains_out = std::move(domains);
-  m_needs_placing = true;
+  m_domains_out_of_service = std::move(domains);
+  m_needs_placement = true;
 }
 
 void Scheduler::OnTick(Time now) {
   m_now = now;
-  SendPostponed();
+  SendPostponedStarts();
   for (auto& [id, upstream] : m_upstreams) SyncIfDue(upstream);
   std::erase_if(m_unopened, [this](const auto& entry) { return OpenDueOccurrences(*entry.second); });
-  if (m_needs_placing || now >= m_next_place) Place();
+  if (m_needs_placement || now >= m_next_placement) PlaceWaitingSteps();
 }
 
 CommitBatch Scheduler::CollectBatch() {
@@ -107,7 +107,7 @@
   const auto record = [this, &covered](Job& job) {
     job.is_queued_for_commit = false;
     covered.emplace_back(job.id, job.change);
-    Record(job);
+    PutRecords(job);
   };
   while (!m_commit_queue.empty() && m_log.pending_bytes() < kMaxBatchBytes) {
     const JobId id = m_commit_queue.front();
@@ -121,7 +121,7 @@
     m_jobs.erase(m_ended.front().second);
     m_ended.pop_front();
   }
-  for (const RecordLog::Item& item : m_log.ItemsToMove()) {
+  for (const RecordLog::RecordRef& item : m_log.RecordsToCompact()) {
     Job* job = FindJob(item.job);
     if (job == nullptr) {
       m_log.Put(item.job, RecordKind::kTombstone, "");
@@ -155,29 +155,29 @@
   return batch;
 }
 
-void Scheduler::Record(Job& job) {
+void Scheduler::PutRecords(Job& job) {
   if (IsSettled(job)) {
     if (job.is_final_recorded) return;
     m_log.Put(job.id, RecordKind::kFinal, EncodeFinalRecord(job));
     job.is_final_recorded = true;
-    m_ended.emplace_back(m_now + kKeepEnded, job.id);
+    m_ended.emplace_back(m_now + kEndedJobRetention, job.id);
     return;
   }
   if (!job.is_spec_recorded) {
     m_log.Put(job.id, RecordKind::kJob, EncodeJobRecord(job));
     job.is_spec_recorded = true;
     // A job without progress is read as one of which nothing has started.
-    if (IsUntouched(job)) return;
+    if (HasNoProgress(job)) return;
   }
   m_log.Put(job.id, RecordKind::kProgress, EncodeProgressRecord(job));
 }
 
-bool Scheduler::IsUntouched(const Job& job) {
+bool Scheduler::HasNoProgress(const Job& job) {
   if (job.state != JobState::kPending || job.spec.repeat_count > 0) return false;
   for (const StepState& step : job.occurrences.front().steps) {
-    const bool is_touched =
+    const bool has_run =
         std::any_of(step.tasks.begin(), step.tasks.end(), [](const TaskState& task) { return task.run > 0; });
-    if (is_touched) return false;
+    if (has_run) return false;
   }
   return true;
 }
@@ -201,7 +201,7 @@
   return found == m_known_queues.end() ? nullptr : &found->second;
 }
 
-void Scheduler::Mark(Job& job) {
+void Scheduler::MarkChanged(Job& job) {
   ++job.change;
   if (!job.is_queued_for_commit) {
     job.is_queued_for_commit = true;
@@ -214,20 +214,20 @@
   job.commit_callbacks.emplace_back(job.change, std::move(action));
 }
 
-void Scheduler::Hold(Job& job, const TaskKey& key, TaskState& task, const UpstreamId& upstream) {
-  UpstreamState& state = KnowUpstream(upstream);
+void Scheduler::AllocateCapacity(Job& job, const TaskKey& key, TaskState& task, const UpstreamId& upstream) {
+  UpstreamState& state = GetOrAddUpstream(upstream);
   const StepSpec& spec = job.spec.steps[key.step];
-  m_team_use[job.team] += spec.demand;
-  state.used += spec.allocated_resources();
+  m_team_usage[job.team] += spec.demand;
+  state.allocated += spec.allocated_resources();
   state.tasks.push_back(key);
   task.upstream = upstream;
 }
 
-void Scheduler::Release(Job& job, const TaskKey& key, TaskState& task) {
+void Scheduler::ReleaseCapacity(Job& job, const TaskKey& key, TaskState& task) {
   UpstreamState& state = m_upstreams[task.upstream];
   const StepSpec& spec = job.spec.steps[key.step];
-  m_team_use[job.team] -= spec.demand;
-  state.used -= spec.allocated_resources();
+  m_team_usage[job.team] -= spec.demand;
+  state.allocated -= spec.allocated_resources();
   const auto found = std::find(state.tasks.begin(), state.tasks.end(), key);
   if (found != state.tasks.end()) {
     *found = state.tasks.back();
@@ -238,14 +238,14 @@
   task.percent = -1;
   task.phase = TaskPhase::kWaiting;
   ++StepOf(job, key).waiting;
-  m_needs_placing = true;
+  m_needs_placement = true;
 }
 
 void Scheduler::SetObjective(Job& job) {
   const QueueConfig* queue = QueueOf(job);
   if (queue == nullptr) return;
   const double call_ms =
-      queue->policy ? queue->policy->call_ms + queue->policy->per_upstream_ms * kPolicyNamesInObjective : 0;
+      queue->policy ? queue->policy->call_ms + queue->policy->per_upstream_ms * kUpstreamsPerCallInObjective : 0;
   std::vector<double> chain(job.spec.steps.size(), 0);
   double longest = 0;
   for (std::size_t s = 0; s < job.spec.steps.size(); ++s) {
@@ -270,7 +270,7 @@
   step.tickets.clear();
   step.policy_decisions.clear();
   Occurrence& occurrence = job.occurrences[key.occurrence];
-  m_needs_placing = true;
+  m_needs_placement = true;
   if (--occurrence.steps_left > 0) return;
   occurrence.is_done = true;
   const bool is_complete = std::all_of(job.occurrences.begin(), job.occurrences.end(),
@@ -286,7 +286,7 @@
                                     {"state", std::string(ToString(state))},
                                     {"after_ms", std::to_string(ToMillis(m_now - job.accepted))}});
   StopAll(job, "job ended");
-  Mark(job);
+  MarkChanged(job);
 }
 
 bool Scheduler::OpenDueOccurrences(Job& job) {
@@ -295,11 +295,11 @@
     if (occurrence.is_done || !occurrence.steps.empty()) continue;
     if (job.spec.repeat_count > 0) {
       const std::int64_t due = job.spec.start_at_unix_ms + static_cast<std::int64_t>(k) * job.spec.interval_ms;
-      if (m_standing.unix_now_ms < due) return false;
+      if (m_leadership.unix_now_ms < due) return false;
     }
     OpenOccurrence(job, k);
-    m_needs_placing = true;
-    Mark(job);
+    m_needs_placement = true;
+    MarkChanged(job);
   }
   return true;
 }
--- a/src/cell/scheduler.h
+++ b/src/cell/scheduler.h
@@ -50,10 +50,11 @@
 
   /// @param epoch number of the takeover; all tokens of this leader lie above those of earlier ones
   /// @param fenced called when an upstream has seen the token of a later leader
-  Scheduler(Ports ports, std::uint64_t epoch, Time now, std::function<void()> mark_dirty, std::function<void()> fenced);
+  Scheduler(Ports ports, std::uint64_t epoch, Time now, std::function<void()> mark_dirty,
+            std::function<void()> on_fenced);
 
   // Loading, before the first tick.
-  void LoadRow(const StateRow& row, const std::vector<LogRecord>& records) { m_log.AddLoaded(row, records); }
+  void LoadRow(const StateRow& row, const std::vector<LogRecord>& records) { m_log.AddLoadedRow(row, records); }
   void LoadJob(Job job, std::int64_t age_ms);
   /// Builds the use of upstreams and organisations from the recorded jobs.
   void FinishLoading();
@@ -68,10 +69,10 @@
   /// Removes all upstreams that are not in a complete list.
   void OnUpstreamListComplete(const std::set<UpstreamId>& listed);
 
-  void SetPolicyCallers(const std::vector<std::string>& addresses) { m_desk.SetPolicyCallers(addresses); }
+  void SetPolicyCallers(const std::vector<std::string>& addresses) { m_policy_calls.SetPolicyCallers(addresses); }
   /// Makes all callbacks ineffective.
   void Retire() { m_is_retired = true; }
-  void SetLeadershipStatus(const LeadershipStatus& standing) { m_standing = standing; }
+  void SetLeadershipStatus(const LeadershipStatus& status) { m_leadership = status; }
 
   void OnClientCall(const ClientCall& call, const ClientReplyFunction& reply);
   /// Sets the time for everything that comes before the next tick.
@@ -91,19 +92,19 @@
 
  private:
   /// Work that this leader can't reach is over this long after the takeover: earlier leaders bound their leases so.
-  static constexpr Duration kLongestLease{10'800'000};
+  static constexpr Duration kMaxLease{10'800'000};
   /// Answers that are on their way when a lease ends.
-  static constexpr Duration kLapseMargin{300'000};
+  static constexpr Duration kLeaseExpiryMargin{300'000};
   /// A stop without a listed end is sent again after this time.
-  static constexpr Duration kStopRetry{500'000};
+  static constexpr Duration kStopRetryDelay{500'000};
   /// An upstream that refused a start or could not be reached gets no start for this time.
-  static constexpr Duration kShortQuarantine{700'000};
+  static constexpr Duration kRefusalQuarantine{700'000};
 
   struct StepRef {
     Job* job = nullptr;
     std::size_t occurrence = 0;
     std::size_t step = 0;
-    int group = 0;  ///< 0 can be timely, 1 can be late, 2 is worth nothing any more
+    int lateness = 0;  ///< 0 can be timely, 1 can be late, 2 is worth nothing any more
     std::int64_t priority = 0;
     Time objective{};
   };
@@ -113,18 +114,18 @@
   TaskState* FindTask(const TaskKey& key);
   StepState& StepOf(Job& job, const TaskKey& key) { return job.occurrences[key.occurrence].steps[key.step]; }
   const QueueConfig* QueueOf(const Job& job) const;
-  void Mark(Job& job);
+  void MarkChanged(Job& job);
   void WhenCommitted(Job& job, std::function<void()> action);
-  void Hold(Job& job, const TaskKey& key, TaskState& task, const UpstreamId& upstream);
-  void Release(Job& job, const TaskKey& key, TaskState& task);
+  void AllocateCapacity(Job& job, const TaskKey& key, TaskState& task, const UpstreamId& upstream);
+  void ReleaseCapacity(Job& job, const TaskKey& key, TaskState& task);
   void SetObjective(Job& job);
   void FinishTask(Job& job, const TaskKey& key, TaskState& task);
   void EndJob(Job& job, JobState state);
   /// @return whether no occurrence of the job is left that is due later
   bool OpenDueOccurrences(Job& job);
-  static bool IsUntouched(const Job& job);
+  static bool HasNoProgress(const Job& job);
   /// Puts what the store does not have of a job into the next transaction.
-  void Record(Job& job);
+  void PutRecords(Job& job);
 
   // scheduler_clients.cc
   void Decide(const ClientCall& call, const ClientReplyFunction& reply);
@@ -132,14 +133,14 @@
   void Submit(const ClientCall& call, const QueueConfig& queue, const JobId& id, const TeamId& team,
               const ClientReplyFunction& reply);
   void Cancel(const JobId& id, const ClientReplyFunction& reply);
-  std::int64_t CountWaiting(const QueueId& queue) const;
+  std::int64_t CountWaitingJobs(const QueueId& queue) const;
 
   // scheduler_orders.cc
   void Assign(Job& job, const TaskKey& key, const UpstreamId& upstream);
   void SendStart(const TaskKey& key, std::int32_t run);
-  void SendPostponed();
+  void SendPostponedStarts();
   void OnStartReply(const TaskKey& key, std::int32_t run, std::uint64_t token, const OrderReply& reply);
-  void NoteStart(Job& job);
+  void MarkStarted(Job& job);
   void Unassign(Job& job, const TaskKey& key, TaskState& task, std::string_view reason);
   void StopTask(Job& job, const TaskKey& key, TaskState& task, std::string_view reason);
   void SendStop(const UpstreamState& upstream, const TaskKey& key, std::int32_t run);
@@ -148,49 +149,49 @@
   void StopUnconfirmedMembers(Job& job, const TaskKey& key);
   /// Makes all orders up to a token void, so that the next list settles what became of them.
   void Fence(UpstreamState& upstream, std::uint64_t order_token);
-  std::int64_t LeaseUntil(UpstreamState& upstream);
+  std::int64_t GrantLease(UpstreamState& upstream);
 
   // scheduler_upstreams.cc
   UpstreamState* FindUpstream(const UpstreamId& id);
   /// The upstream, which becomes known by this if it was not.
-  UpstreamState& KnowUpstream(const UpstreamId& id);
+  UpstreamState& GetOrAddUpstream(const UpstreamId& id);
   bool IsUsable(const UpstreamState& upstream) const;
-  void RepeatStops(UpstreamState& upstream);
+  void ResendDueStops(UpstreamState& upstream);
   void SyncIfDue(UpstreamState& upstream);
   void OnSyncReply(const UpstreamId& id, std::uint64_t number, const SyncReply& reply);
-  void OnRunning(UpstreamState& upstream, const ActiveRun& row);
-  void OnEnd(UpstreamState& upstream, const EndedRun& row);
+  void OnActiveRun(UpstreamState& upstream, const ActiveRun& row);
+  void OnEndedRun(UpstreamState& upstream, const EndedRun& row);
   void OnFailedRun(Job& job, const TaskKey& key, TaskState& task, UpstreamState& upstream);
   void AcknowledgeEnds(UpstreamState& upstream);
-  void LoseMissing(UpstreamState& upstream, const std::set<TaskKey>& seen);
-  void LoseAll(UpstreamState& upstream, std::string_view reason);
-  void LoseTask(const TaskKey& key, std::string_view reason);
+  void MarkUnlistedTasksLost(UpstreamState& upstream, const std::set<TaskKey>& seen);
+  void MarkAllTasksLost(UpstreamState& upstream, std::string_view reason);
+  void MarkTaskLost(const TaskKey& key, std::string_view reason);
   void CheckProgress(UpstreamState& upstream);
 
   // scheduler_placement.cc
-  void Place();
+  void PlaceWaitingSteps();
   void PlaceStep(const StepRef& ref);
   bool PlaceGang(const StepRef& ref, const std::vector<UpstreamState*>& candidates);
   void PlaceTasks(const StepRef& ref, const std::vector<UpstreamState*>& candidates);
-  std::vector<UpstreamState*> Candidates(const StepRef& ref);
-  bool MayRunOn(const StepSpec& spec, const QueueConfig& queue, const UpstreamState& upstream) const;
-  std::int64_t Slots(const StepRef& ref, const UpstreamState& upstream, const Resources& room) const;
-  void Reserve(const StepRef& ref, const std::vector<UpstreamState*>& candidates);
-  void AskPolicy(const StepRef& ref, const QueueConfig& queue);
-  void OnPolicyAnswer(const TaskKey& step_key, const std::vector<UpstreamId>& named, const PolicyReply& answer);
-  Resources TeamRoom(const TeamId& team) const;
+  std::vector<UpstreamState*> FindCandidates(const StepRef& ref);
+  bool CanRunOn(const StepSpec& spec, const QueueConfig& queue, const UpstreamState& upstream) const;
+  std::int64_t CountSlots(const StepRef& ref, const UpstreamState& upstream, const Resources& free_capacity) const;
+  void ReserveUpstreams(const StepRef& ref, const std::vector<UpstreamState*>& candidates);
+  void RequestTickets(const StepRef& ref, const QueueConfig& queue);
+  void OnPolicyReply(const TaskKey& step_key, const std::vector<UpstreamId>& named, const PolicyReply& policy_reply);
+  Resources TeamFreeCapacity(const TeamId& team) const;
 
   Ports m_ports;
   const std::uint64_t m_epoch;
   const Time m_took_over_at;
   const std::function<void()> m_mark_dirty;
-  const std::function<void()> m_fenced;
+  const std::function<void()> m_on_fenced;
   Time m_now;
-  LeadershipStatus m_standing;
+  LeadershipStatus m_leadership;
   std::shared_ptr<const CellConfig> m_config;
   std::map<QueueId, QueueConfig> m_known_queues;  ///< also those that were removed, for jobs accepted before
   Time m_config_current_at{};
-  std::set<DomainId> m_domains_out;
+  std::set<DomainId> m_domains_out_of_service;
   std::unordered_map<JobId, std::unique_ptr<Job>> m_jobs;
   std::map<JobId, Job*> m_active;    ///< jobs that have not ended
   std::map<JobId, Job*> m_unopened;  ///< active jobs with occurrences that are not due yet
@@ -198,18 +199,19 @@
   RecordLog m_log;
   std::deque<std::pair<Time, JobId>> m_ended;  ///< when ended jobs are forgotten
   std::map<UpstreamId, UpstreamState> m_upstreams;
-  std::map<TeamId, Resources> m_team_use;
+  std::map<TeamId, Resources> m_team_usage;
   RefusedCalls m_refused_calls;
-  PolicyCallDispatcher m_desk;
-  Admission m_admission;
+  PolicyCallDispatcher m_policy_calls;
+  AdmissionController m_admission;
   std::map<QueueId, double> m_allowed_share;  ///< learned share of upstreams that the policy allows
-  std::set<UpstreamId> m_reserved;            ///< for waiting gangs, within one pass
+  std::set<UpstreamId> m_reserved_upstreams;  ///< for waiting gangs, within one pass
   std::uint64_t m_token_counter = 0;
   bool m_is_retired = false;
-  bool m_needs_placing = true;
-  std::vector<std::pair<TaskKey, std::int32_t>> m_postponed;  ///< starts that wait until this leader is confirmed
-  Time m_order_lost_at{};                                     ///< when an order or sync last had no answer
-  Time m_next_place{};
+  bool m_needs_placement = true;
+  std::vector<std::pair<TaskKey, std::int32_t>>
+      m_postponed_starts;       ///< starts that wait until this leader is confirmed
+  Time m_order_timed_out_at{};  ///< when an order or sync last had no answer
+  Time m_next_placement{};
 };
 
 }  // namespace jaymast
--- a/src/cell/scheduler_clients.cc
+++ b/src/cell/scheduler_clients.cc
@@ -34,7 +34,7 @@
 
 void Scheduler::Decide(const ClientCall& call, const ClientReplyFunction& reply) {
   const bool is_config_fresh = m_config != nullptr && m_now - m_config_current_at <= kMaxConfigAge;
-  const bool is_confirmed = m_now - m_standing.confirmed_at <= kMaxUnconfirmed;
+  const bool is_confirmed = m_now - m_leadership.confirmed_at <= kMaxUnconfirmed;
   if (m_config == nullptr) return reply({ClientOutcome::kUnavailable, {}, 0, 1});
   const QueueConfig* queue = m_config->FindQueue(call.host, call.path);
   if (queue == nullptr) {
@@ -58,7 +58,7 @@
   }
   if (call.action == ClientAction::kReadQueue) {
     if (!is_confirmed) return reply({ClientOutcome::kNotLeader});
-    return reply({ClientOutcome::kQueueLength, {}, CountWaiting(queue->id)});
+    return reply({ClientOutcome::kQueueLength, {}, CountWaitingJobs(queue->id)});
   }
   if (call.action == ClientAction::kCancel) {
     // A revoked key must not cancel either, so the configuration has to be current.
@@ -66,8 +66,8 @@
     return Cancel(id, reply);
   }
   if (call.action == ClientAction::kSubmit && job == nullptr) {
-    if (m_standing.is_store_stalled && !m_standing.is_store_unavailable) return reply({ClientOutcome::kNotLeader});
-    if (!is_config_fresh || m_standing.is_store_unavailable) {
+    if (m_leadership.is_store_stalled && !m_leadership.is_store_unavailable) return reply({ClientOutcome::kNotLeader});
+    if (!is_config_fresh || m_leadership.is_store_unavailable) {
       m_ports.events.Emit("job.refused", {{"job", id.value()}, {"reason", "store does not answer"}});
       return reply({ClientOutcome::kUnavailable, {}, 0, kStoreRetryAfterS});
     }
@@ -109,7 +109,7 @@
   job.call_id = call.call_id;
   job.spec = *call.spec;
   job.accepted = m_now;
-  job.recorded_at_ms = m_standing.store_now_ms;
+  job.recorded_at_ms = m_leadership.store_now_ms;
   job.occurrences.resize(static_cast<std::size_t>(job.spec.occurrence_count()));
   SetObjective(job);
 
@@ -119,7 +119,7 @@
     for (const auto& [upstream_id, upstream] : m_upstreams) {
       if (!IsUsable(upstream)) continue;
       load.total_cores += static_cast<double>(upstream.listing.capacity.cpu_millis) / 1000.0;
-      load.free_cores += static_cast<double>(std::max<std::int64_t>(0, upstream.Free().cpu_millis)) / 1000.0;
+      load.free_cores += static_cast<double>(std::max<std::int64_t>(0, upstream.FreeCapacity().cpu_millis)) / 1000.0;
     }
     for (const auto& [active, entry] : m_active) {
       const Job& other = *entry;
@@ -128,8 +128,8 @@
       for (const Occurrence& occurrence : other.occurrences) {
         for (std::size_t s = 0; s < occurrence.steps.size(); ++s) {
           const StepSpec& step = other.spec.steps[s];
-          load.urgent_cores += static_cast<double>(occurrence.steps[s].waiting * step.demand.cpu_millis) / 1000.0;
-          load.urgent_core_s += static_cast<double>(occurrence.steps[s].waiting * step.estimate_ms) / 1000.0 *
+          load.queued_cores += static_cast<double>(occurrence.steps[s].waiting * step.demand.cpu_millis) / 1000.0;
+          load.queued_core_s += static_cast<double>(occurrence.steps[s].waiting * step.estimate_ms) / 1000.0 *
                                 static_cast<double>(step.demand.cpu_millis) / 1000.0;
         }
       }
@@ -146,7 +146,7 @@
     if (!decision.is_admitted) {
       m_ports.events.Emit("job.refused", {{"job", id.value()},
                                           {"reason", "queue is longer than the slack"},
-                                          {"queued_core_s", fmt::format("{:.1f}", load.urgent_core_s)},
+                                          {"queued_core_s", fmt::format("{:.1f}", load.queued_core_s)},
                                           {"slack_s", fmt::format("{:.2f}", load.slack_s)},
                                           {"retry_after_s", std::to_string(decision.retry_after_s)}});
       return reply({ClientOutcome::kOverloaded, {}, 0, decision.retry_after_s});
@@ -156,7 +156,7 @@
   Job& accepted = *stored;
   m_jobs[id] = std::move(stored);
   m_active[id] = &accepted;
-  Mark(accepted);
+  MarkChanged(accepted);
   WhenCommitted(accepted, [reply] { reply({ClientOutcome::kAccepted}); });
   if (!OpenDueOccurrences(accepted)) m_unopened[id] = &accepted;
   m_ports.events.Emit("job.accepted", {{"job", id.value()}, {"queue", queue.id.value()}, {"team", team.value()}});
@@ -165,7 +165,7 @@
 void Scheduler::Cancel(const JobId& id, const ClientReplyFunction& reply) {
   Job* job = FindJob(id);
   if (job == nullptr) {
-    const bool is_confirmed = m_now - m_standing.confirmed_at <= kMaxUnconfirmed;
+    const bool is_confirmed = m_now - m_leadership.confirmed_at <= kMaxUnconfirmed;
     return reply({is_confirmed ? ClientOutcome::kNoSuchJob : ClientOutcome::kNotLeader});
   }
   if (!IsFinal(job->state)) EndJob(*job, JobState::kCancelled);
@@ -173,7 +173,7 @@
   WhenCommitted(*job, [reply] { reply({ClientOutcome::kCancelled}); });
 }
 
-std::int64_t Scheduler::CountWaiting(const QueueId& queue) const {
+std::int64_t Scheduler::CountWaitingJobs(const QueueId& queue) const {
   return std::count_if(m_active.begin(), m_active.end(), [&queue](const auto& entry) {
     return entry.second->queue == queue && !entry.second->has_started;
   });
--- a/src/cell/scheduler_orders.cc
+++ b/src/cell/scheduler_orders.cc
@@ -10,10 +10,10 @@
 namespace {
 
 /// Work survives a cut of 6 s between the leader and the upstream; work on a crashed upstream is repeated after it.
-constexpr Duration kLease{7'000'000};
+constexpr Duration kLeaseDuration{7'000'000};
 /// Leases end at most this long after the leader was last confirmed, so a successor knows when work that it can't reach
 /// is over.
-constexpr Duration kLeaseBeyondStanding{10'000'000};
+constexpr Duration kMaxLeaseAfterConfirmation{10'000'000};
 /// A start is sent only if no other leader existed this long ago; above the time of a commit in a slow store.
 constexpr Duration kMaxStartUnconfirmed{1'000'000};
 /// An unanswered start is sent again this often before the upstream is fenced.
@@ -27,27 +27,27 @@
   ++task.run;
   task.send_attempts = 0;
   --step.waiting;
-  Hold(job, key, task, upstream);
-  Mark(job);
+  AllocateCapacity(job, key, task, upstream);
+  MarkChanged(job);
   WhenCommitted(job, [this, key, run = task.run] { SendStart(key, run); });
 }
 
-std::int64_t Scheduler::LeaseUntil(UpstreamState& upstream) {
-  const Time bound = m_standing.confirmed_at + kLeaseBeyondStanding;
-  const Duration span = std::min(kLease, bound - m_now);
+std::int64_t Scheduler::GrantLease(UpstreamState& upstream) {
+  const Time bound = m_leadership.confirmed_at + kMaxLeaseAfterConfirmation;
+  const Duration span = std::min(kLeaseDuration, bound - m_now);
   if (span <= Duration::zero()) return 0;
   // The clock of an upstream may be slow, so the lease may last longer here than there.
-  upstream.lapse_at = std::max(upstream.lapse_at, m_now + span + span / 32 + kLapseMargin);
-  return upstream.ClockAt(m_now) + ToMillis(span);
+  upstream.leases_expire_at = std::max(upstream.leases_expire_at, m_now + span + span / 32 + kLeaseExpiryMargin);
+  return upstream.ClockMsAt(m_now) + ToMillis(span);
 }
 
 void Scheduler::SendStart(const TaskKey& key, std::int32_t run) {
   TaskState* task = FindTask(key);
   if (task == nullptr || task->run != run) return;
   if (task->phase != TaskPhase::kAssigned && task->phase != TaskPhase::kStarting) return;
-  if (m_now - m_standing.confirmed_at > kMaxStartUnconfirmed) {
+  if (m_now - m_leadership.confirmed_at > kMaxStartUnconfirmed) {
     // Another leader may have taken over while this process stood still, and a restarted upstream knows no fence.
-    m_postponed.emplace_back(key, run);
+    m_postponed_starts.emplace_back(key, run);
     return;
   }
   Job& job = *FindJob(key.job);
@@ -67,7 +67,7 @@
     // The start may still arrive; the fence and the next list settle what became of it.
     return Fence(upstream, task->token);
   }
-  const std::int64_t until = LeaseUntil(upstream);
+  const std::int64_t until = GrantLease(upstream);
   task->phase = TaskPhase::kStarting;
   task->token = upstream.token;
   ++task->send_attempts;
@@ -84,9 +84,9 @@
   });
 }
 
-void Scheduler::SendPostponed() {
-  if (m_postponed.empty() || m_now - m_standing.confirmed_at > kMaxStartUnconfirmed) return;
-  const auto postponed = std::exchange(m_postponed, {});
+void Scheduler::SendPostponedStarts() {
+  if (m_postponed_starts.empty() || m_now - m_leadership.confirmed_at > kMaxStartUnconfirmed) return;
+  const auto postponed = std::exchange(m_postponed_starts, {});
   for (const auto& [key, run] : postponed) SendStart(key, run);
 }
 
@@ -108,14 +108,14 @@
     task->phase = TaskPhase::kRunning;
     task->confirmed_at = m_now;
     task->progressed_at = m_now;
-    NoteStart(job);
+    MarkStarted(job);
     return;
   }
   if (reply.status == OrderStatus::kUnknown) {
-    m_order_lost_at = m_now;
+    m_order_timed_out_at = m_now;
     if (task->send_attempts < kMaxSendAttempts && token == upstream.token) {
       // Sent by the next tick: this process may have stood still before it handled the answer.
-      m_postponed.emplace_back(key, run);
+      m_postponed_starts.emplace_back(key, run);
       return;
     }
     return Fence(upstream, token);
@@ -129,14 +129,14 @@
   if (task->send_attempts > 1 || reply.status == OrderStatus::kFenced) return Fence(upstream, task->token);
   if (reply.status == OrderStatus::kBadTicket) StepOf(job, key).tickets.erase(task->upstream);
   if (reply.status == OrderStatus::kUnhealthy || reply.status == OrderStatus::kNotSent) {
-    upstream.quarantined_until = m_now + kShortQuarantine;
+    upstream.quarantined_until = m_now + kRefusalQuarantine;
   }
   if (reply.status == OrderStatus::kOtherIncarnation) upstream.next_sync = m_now;
   Unassign(job, key, *task, ToString(reply.status));
   if (is_gang) AbortGang(job, key, "member was refused");
 }
 
-void Scheduler::NoteStart(Job& job) {
+void Scheduler::MarkStarted(Job& job) {
   if (job.has_started) return;
   // Not written: a new leader knows it from the numbers of the runs.
   job.has_started = true;
@@ -149,8 +149,8 @@
                                           {"run", std::to_string(task.run)},
                                           {"upstream", task.upstream.value()},
                                           {"reason", std::string(reason)}});
-  Release(job, key, task);
-  Mark(job);
+  ReleaseCapacity(job, key, task);
+  MarkChanged(job);
 }
 
 void Scheduler::Fence(UpstreamState& upstream, std::uint64_t order_token) {
@@ -174,8 +174,8 @@
                                     {"reason", std::string(reason)}});
   task.phase = TaskPhase::kStopping;
   task.confirmed_at = Time::max();
-  Mark(job);
-  task.stop_retry_at = m_now + kStopRetry;
+  MarkChanged(job);
+  task.stop_retry_at = m_now + kStopRetryDelay;
   UpstreamState& upstream = m_upstreams[task.upstream];
   upstream.next_stop = std::min(upstream.next_stop, task.stop_retry_at);
   SendStop(upstream, key, task.run);
--- a/src/cell/scheduler_placement.cc
+++ b/src/cell/scheduler_placement.cc
@@ -14,34 +14,34 @@
 namespace jaymast {
 namespace {
 
-constexpr Duration kIdlePlacePause{100'000};
+constexpr Duration kIdlePlacementInterval{100'000};
 /// A ticket must outlast the commit of the assignment and the way to the upstream.
 constexpr Duration kTicketMargin{150'000};
 /// Share of upstreams that the policy is expected to allow before anything is known of a queue.
 constexpr double kInitialAllowedShare = 0.4;
 constexpr double kAllowedShareWeight = 0.1;  ///< of the newest answer in the running mean
 /// Upstreams are named for this multiple of the room that a step needs, as other steps take room meanwhile.
-constexpr double kNamedRoomFactor = 1.5;
-constexpr double kNamedRoomFactorGang = 2.0;
-constexpr std::size_t kMinNamed = 8;
-constexpr std::size_t kMaxNamed = 100;  ///< bound of the policy service
+constexpr double kRequestedCapacityFactor = 1.5;
+constexpr double kRequestedCapacityFactorGang = 2.0;
+constexpr std::size_t kMinRequestedUpstreams = 8;
+constexpr std::size_t kMaxRequestedUpstreams = 100;  ///< bound of the policy service
 /// Pause after an answer before the same step is asked for again.
-constexpr Duration kAskPause{120'000};
+constexpr Duration kPolicyRequestInterval{120'000};
 /// Gangs for which room is kept in one pass.
 constexpr int kMaxReservingGangs = 2;
 /// Short work passes a reservation until the gang has waited this long.
-constexpr Duration kReservePatience{1'500'000};
+constexpr Duration kReservationDelay{1'500'000};
 
 /// A gang that is slow on several racks waits this long for room on one.
-constexpr Duration kRackPatience{1'500'000};
+constexpr Duration kMaxRackWait{1'500'000};
 
 /// Keeps the upstreams of the rack with the least room that is enough.
 /// @return whether there is such a rack; otherwise nothing is changed
 bool KeepOneRack(std::vector<std::pair<std::int64_t, UpstreamState*>>& slots, std::int64_t needed) {
-  std::map<std::string, std::int64_t> room;
-  for (const auto& [count, upstream] : slots) room[upstream->listing.rack] += count;
+  std::map<std::string, std::int64_t> free_capacity;
+  for (const auto& [count, upstream] : slots) free_capacity[upstream->listing.rack] += count;
   const std::pair<const std::string, std::int64_t>* best = nullptr;
-  for (const auto& rack : room) {
+  for (const auto& rack : free_capacity) {
     if (rack.second >= needed && (best == nullptr || rack.second < best->second)) best = &rack;
   }
   if (best == nullptr) return false;
@@ -51,16 +51,16 @@
 
 }  // namespace
 
-void Scheduler::Place() {
-  m_needs_placing = false;
-  m_next_place = m_now + kIdlePlacePause;
-  m_reserved.clear();
+void Scheduler::PlaceWaitingSteps() {
+  m_needs_placement = false;
+  m_next_placement = m_now + kIdlePlacementInterval;
+  m_reserved_upstreams.clear();
   std::vector<StepRef> refs;
   if (m_config == nullptr) return;
   for (const auto& [id, entry] : m_active) {
     Job& job = *entry;
     const QueueConfig* queue = nullptr;
-    const int group = m_now < job.objective ? 0 : (m_now < job.hard_deadline ? 1 : 2);
+    const int lateness = m_now < job.objective ? 0 : (m_now < job.hard_deadline ? 1 : 2);
     for (std::size_t k = 0; k < job.occurrences.size(); ++k) {
       Occurrence& occurrence = job.occurrences[k];
       if (occurrence.is_done) continue;
@@ -72,62 +72,63 @@
         });
         if (!is_ready) continue;
         if (queue == nullptr) queue = QueueOf(job);
-        if (queue != nullptr) refs.push_back({&job, k, s, group, queue->priority, job.objective});
+        if (queue != nullptr) refs.push_back({&job, k, s, lateness, queue->priority, job.objective});
       }
     }
   }
   std::sort(refs.begin(), refs.end(), [](const StepRef& a, const StepRef& b) {
-    return std::tie(a.group, a.priority, a.objective, a.job->id, a.occurrence, a.step) <
-           std::tie(b.group, b.priority, b.objective, b.job->id, b.occurrence, b.step);
+    return std::tie(a.lateness, a.priority, a.objective, a.job->id, a.occurrence, a.step) <
+           std::tie(b.lateness, b.priority, b.objective, b.job->id, b.occurrence, b.step);
   });
   for (const StepRef& ref : refs) PlaceStep(ref);
 }
 
-bool Scheduler::MayRunOn(const StepSpec& spec, const QueueConfig& queue, const UpstreamState& upstream) const {
+bool Scheduler::CanRunOn(const StepSpec& spec, const QueueConfig& queue, const UpstreamState& upstream) const {
   if (upstream.listing.service != queue.service || !IsUsable(upstream)) return false;
   return spec.required_label.empty() || upstream.HasLabel(spec.required_label);
 }
 
-Resources Scheduler::TeamRoom(const TeamId& team) const {
+Resources Scheduler::TeamFreeCapacity(const TeamId& team) const {
   constexpr std::int64_t kUnbounded = std::numeric_limits<std::int64_t>::max() / 4;
-  Resources room{kUnbounded, kUnbounded, kUnbounded, kUnbounded};
+  Resources free_capacity{kUnbounded, kUnbounded, kUnbounded, kUnbounded};
   const auto config = m_config->teams.find(team);
-  if (config == m_config->teams.end()) return room;
-  const auto use = m_team_use.find(team);
-  const Resources used = use == m_team_use.end() ? Resources{} : use->second;
+  if (config == m_config->teams.end()) return free_capacity;
+  const auto use = m_team_usage.find(team);
+  const Resources allocated = use == m_team_usage.end() ? Resources{} : use->second;
   const Resources& limit = config->second.limit;
-  if (limit.cpu_millis > 0) room.cpu_millis = limit.cpu_millis - used.cpu_millis;
-  if (limit.memory_mb > 0) room.memory_mb = limit.memory_mb - used.memory_mb;
-  if (limit.accelerators > 0) room.accelerators = limit.accelerators - used.accelerators;
-  return room;
+  if (limit.cpu_millis > 0) free_capacity.cpu_millis = limit.cpu_millis - allocated.cpu_millis;
+  if (limit.memory_mb > 0) free_capacity.memory_mb = limit.memory_mb - allocated.memory_mb;
+  if (limit.accelerators > 0) free_capacity.accelerators = limit.accelerators - allocated.accelerators;
+  return free_capacity;
 }
 
-std::int64_t Scheduler::Slots(const StepRef& ref, const UpstreamState& upstream, const Resources& room) const {
+std::int64_t Scheduler::CountSlots(const StepRef& ref, const UpstreamState& upstream,
+                                   const Resources& free_capacity) const {
   const StepSpec& spec = ref.job->spec.steps[ref.step];
   std::int64_t slots = spec.task_count;
   const auto limit = [&slots](std::int64_t available, std::int64_t needed) {
     if (needed > 0) slots = std::min(slots, std::max<std::int64_t>(0, available) / needed);
   };
-  if (!spec.uses_spare_cpu) limit(room.cpu_millis, spec.demand.cpu_millis);
-  limit(room.memory_mb, spec.demand.memory_mb);
-  limit(room.accelerators, spec.demand.accelerators);
+  if (!spec.uses_spare_cpu) limit(free_capacity.cpu_millis, spec.demand.cpu_millis);
+  limit(free_capacity.memory_mb, spec.demand.memory_mb);
+  limit(free_capacity.accelerators, spec.demand.accelerators);
   if (spec.max_per_upstream > 0) {
-    const auto here = std::count_if(upstream.tasks.begin(), upstream.tasks.end(), [&ref](const TaskKey& key) {
+    const auto placed_here = std::count_if(upstream.tasks.begin(), upstream.tasks.end(), [&ref](const TaskKey& key) {
       return key.job == ref.job->id && key.occurrence == ref.occurrence && key.step == ref.step;
     });
-    slots = std::min<std::int64_t>(slots, std::max<std::int64_t>(0, spec.max_per_upstream - here));
+    slots = std::min<std::int64_t>(slots, std::max<std::int64_t>(0, spec.max_per_upstream - placed_here));
   }
   return slots;
 }
 
-std::vector<UpstreamState*> Scheduler::Candidates(const StepRef& ref) {
+std::vector<UpstreamState*> Scheduler::FindCandidates(const StepRef& ref) {
   const QueueConfig& queue = *QueueOf(*ref.job);
   const StepSpec& spec = ref.job->spec.steps[ref.step];
   StepState& step = ref.job->occurrences[ref.occurrence].steps[ref.step];
   std::vector<UpstreamState*> candidates;
   if (!queue.policy) {
     for (auto& [id, upstream] : m_upstreams) {
-      if (MayRunOn(spec, queue, upstream)) candidates.push_back(&upstream);
+      if (CanRunOn(spec, queue, upstream)) candidates.push_back(&upstream);
     }
     return candidates;
   }
@@ -139,7 +140,7 @@
       it = step.tickets.erase(it);
       continue;
     }
-    if (it->second.expires_at > m_now + kTicketMargin && MayRunOn(spec, queue, *upstream))
+    if (it->second.expires_at > m_now + kTicketMargin && CanRunOn(spec, queue, *upstream))
       candidates.push_back(upstream);
     ++it;
   }
@@ -149,37 +150,37 @@
 void Scheduler::PlaceStep(const StepRef& ref) {
   StepState& step = ref.job->occurrences[ref.occurrence].steps[ref.step];
   const StepSpec& spec = ref.job->spec.steps[ref.step];
-  const std::vector<UpstreamState*> candidates = Candidates(ref);
+  const std::vector<UpstreamState*> candidates = FindCandidates(ref);
   if (spec.is_gang) {
     if (step.waiting < spec.task_count) return;
     if (PlaceGang(ref, candidates)) return;
-    Reserve(ref, candidates);
+    ReserveUpstreams(ref, candidates);
   } else {
     PlaceTasks(ref, candidates);
   }
   const QueueConfig& queue = *QueueOf(*ref.job);
-  if (step.waiting > 0 && queue.policy) AskPolicy(ref, queue);
+  if (step.waiting > 0 && queue.policy) RequestTickets(ref, queue);
 }
 
 bool Scheduler::PlaceGang(const StepRef& ref, const std::vector<UpstreamState*>& candidates) {
   const StepSpec& spec = ref.job->spec.steps[ref.step];
-  const Resources team_room = TeamRoom(ref.job->team);
+  const Resources team_free_capacity = TeamFreeCapacity(ref.job->team);
   const Resources& one = spec.demand;
-  const Resources all{one.cpu_millis * spec.task_count, one.memory_mb * spec.task_count,
-                      one.accelerators * spec.task_count, 0};
-  if (!all.FitsIn(team_room)) return false;
+  const Resources total_demand{one.cpu_millis * spec.task_count, one.memory_mb * spec.task_count,
+                               one.accelerators * spec.task_count, 0};
+  if (!total_demand.FitsIn(team_free_capacity)) return false;
   std::vector<std::pair<std::int64_t, UpstreamState*>> slots;
   std::int64_t total = 0;
   for (UpstreamState* upstream : candidates) {
-    const std::int64_t count = Slots(ref, *upstream, upstream->Free());
+    const std::int64_t count = CountSlots(ref, *upstream, upstream->FreeCapacity());
     if (count > 0) slots.emplace_back(count, upstream);
     total += count;
   }
   if (total < spec.task_count) return false;
-  if (spec.same_rack && !KeepOneRack(slots, spec.task_count) && m_now - ref.job->accepted < kRackPatience) return false;
+  if (spec.same_rack && !KeepOneRack(slots, spec.task_count) && m_now - ref.job->accepted < kMaxRackWait) return false;
   // The fullest upstreams first, so that wide room elsewhere stays whole.
   std::stable_sort(slots.begin(), slots.end(), [](const auto& a, const auto& b) {
-    return a.second->Free().cpu_millis < b.second->Free().cpu_millis;
+    return a.second->FreeCapacity().cpu_millis < b.second->FreeCapacity().cpu_millis;
   });
   std::size_t index = 0;
   for (const auto& [count, upstream] : slots) {
@@ -193,18 +194,18 @@
 void Scheduler::PlaceTasks(const StepRef& ref, const std::vector<UpstreamState*>& candidates) {
   const StepSpec& spec = ref.job->spec.steps[ref.step];
   StepState& step = ref.job->occurrences[ref.occurrence].steps[ref.step];
-  Resources team_room = TeamRoom(ref.job->team);
+  Resources team_free_capacity = TeamFreeCapacity(ref.job->team);
   for (std::size_t i = 0; i < step.tasks.size() && step.waiting > 0; ++i) {
     TaskState& task = step.tasks[i];
     if (task.phase != TaskPhase::kWaiting) continue;
-    if (!spec.demand.FitsIn(team_room)) return;
+    if (!spec.demand.FitsIn(team_free_capacity)) return;
     UpstreamState* best = nullptr;
     double best_score = std::numeric_limits<double>::max();
     for (UpstreamState* upstream : candidates) {
-      if (Slots(ref, *upstream, upstream->Free()) < 1) continue;
-      if (m_reserved.contains(upstream->listing.id)) continue;
+      if (CountSlots(ref, *upstream, upstream->FreeCapacity()) < 1) continue;
+      if (m_reserved_upstreams.contains(upstream->listing.id)) continue;
       const Resources& capacity = upstream->listing.capacity;
-      const Resources free = upstream->Free();
+      const Resources free = upstream->FreeCapacity();
       double score =
           static_cast<double>(free.cpu_millis) / static_cast<double>(std::max<std::int64_t>(1, capacity.cpu_millis)) +
           static_cast<double>(free.memory_mb) / static_cast<double>(std::max<std::int64_t>(1, capacity.memory_mb));
@@ -217,98 +218,100 @@
     }
     if (best == nullptr) return;
     Assign(*ref.job, TaskKey{ref.job->id, ref.occurrence, ref.step, i}, best->listing.id);
-    team_room -= spec.demand;
+    team_free_capacity -= spec.demand;
   }
 }
 
-void Scheduler::Reserve(const StepRef& ref, const std::vector<UpstreamState*>& candidates) {
-  if (m_reserved.size() >= candidates.size() + kMaxReservingGangs * kMinNamed) return;
-  if (ref.group > 0 || m_now - ref.job->accepted < kReservePatience) return;
+void Scheduler::ReserveUpstreams(const StepRef& ref, const std::vector<UpstreamState*>& candidates) {
+  if (m_reserved_upstreams.size() >= candidates.size() + kMaxReservingGangs * kMinRequestedUpstreams) return;
+  if (ref.lateness > 0 || m_now - ref.job->accepted < kReservationDelay) return;
   const StepSpec& spec = ref.job->spec.steps[ref.step];
   std::vector<UpstreamState*> ordered = candidates;
-  std::stable_sort(ordered.begin(), ordered.end(),
-                   [](const auto* a, const auto* b) { return a->Free().cpu_millis > b->Free().cpu_millis; });
-  std::int64_t covered = 0;
+  std::stable_sort(ordered.begin(), ordered.end(), [](const auto* a, const auto* b) {
+    return a->FreeCapacity().cpu_millis > b->FreeCapacity().cpu_millis;
+  });
+  std::int64_t reserved_slots = 0;
   for (const UpstreamState* upstream : ordered) {
-    if (covered >= spec.task_count) return;
-    covered += Slots(ref, *upstream, upstream->listing.capacity);
-    m_reserved.insert(upstream->listing.id);
+    if (reserved_slots >= spec.task_count) return;
+    reserved_slots += CountSlots(ref, *upstream, upstream->listing.capacity);
+    m_reserved_upstreams.insert(upstream->listing.id);
   }
 }
 
-void Scheduler::AskPolicy(const StepRef& ref, const QueueConfig& queue) {
+void Scheduler::RequestTickets(const StepRef& ref, const QueueConfig& queue) {
   StepState& step = ref.job->occurrences[ref.occurrence].steps[ref.step];
   const StepSpec& spec = ref.job->spec.steps[ref.step];
   if (step.open_policy_calls > 0 || m_now < step.next_policy_call_at) return;
   const PolicyConfig& terms = *queue.policy;
-  if (!m_desk.HasRoom(static_cast<std::int64_t>(terms.call_ms), m_now)) return;
+  if (!m_policy_calls.CanCall(static_cast<std::int64_t>(terms.call_ms), m_now)) return;
   const double share = m_allowed_share.try_emplace(queue.id, kInitialAllowedShare).first->second;
-  double ticketed = 0;
-  std::vector<std::tuple<bool, std::int64_t, double, UpstreamState*>> open;  // has no room, free, expected slots
+  double ticketed_slots = 0;
+  std::vector<std::tuple<bool, std::int64_t, double, UpstreamState*>> unticketed;  // has no room, free, expected slots
   for (auto& [id, upstream] : m_upstreams) {
-    if (!MayRunOn(spec, queue, upstream)) continue;
+    if (!CanRunOn(spec, queue, upstream)) continue;
     const auto verdict = step.policy_decisions.find(id);
     if (verdict != step.policy_decisions.end() && !verdict->second) continue;
-    const std::int64_t now_slots = Slots(ref, upstream, upstream.Free());
+    const std::int64_t free_slots = CountSlots(ref, upstream, upstream.FreeCapacity());
     if (step.tickets.contains(id)) {
-      ticketed += static_cast<double>(now_slots);
+      ticketed_slots += static_cast<double>(free_slots);
       continue;
     }
-    const double chance = verdict != step.policy_decisions.end() ? 1.0 : share;
-    const std::int64_t slots = now_slots > 0 ? now_slots : Slots(ref, upstream, upstream.listing.capacity);
+    const double probability = verdict != step.policy_decisions.end() ? 1.0 : share;
+    const std::int64_t slots = free_slots > 0 ? free_slots : CountSlots(ref, upstream, upstream.listing.capacity);
     if (slots == 0) continue;
-    open.emplace_back(now_slots == 0, -upstream.Free().cpu_millis, chance * static_cast<double>(slots), &upstream);
+    unticketed.emplace_back(free_slots == 0, -upstream.FreeCapacity().cpu_millis,
+                            probability * static_cast<double>(slots), &upstream);
   }
-  if (open.empty()) return;
-  std::sort(open.begin(), open.end(), [](const auto& a, const auto& b) {
+  if (unticketed.empty()) return;
+  std::sort(unticketed.begin(), unticketed.end(), [](const auto& a, const auto& b) {
     return std::tie(std::get<0>(a), std::get<1>(a)) < std::tie(std::get<0>(b), std::get<1>(b));
   });
-  const double factor = spec.is_gang ? kNamedRoomFactorGang : kNamedRoomFactor;
-  const double needed = static_cast<double>(step.waiting) * factor - ticketed;
+  const double factor = spec.is_gang ? kRequestedCapacityFactorGang : kRequestedCapacityFactor;
+  const double needed = static_cast<double>(step.waiting) * factor - ticketed_slots;
   // Valid tickets cover the need; room frees before new ones would help.
   if (needed <= 0) return;
-  if (std::get<0>(open.front()) && !step.tickets.empty()) return;
-  PolicyRequest question;
-  question.job = ref.job->id;
-  question.occurrence = ref.occurrence;
-  question.step = ref.step;
-  double expected = 0;
-  for (const auto& [is_full, free, slots, upstream] : open) {
-    if (question.upstreams.size() >= kMaxNamed) break;
-    if (expected >= needed && question.upstreams.size() >= kMinNamed) break;
-    expected += slots;
-    question.upstreams.push_back(upstream->listing.id);
+  if (std::get<0>(unticketed.front()) && !step.tickets.empty()) return;
+  PolicyRequest request;
+  request.job = ref.job->id;
+  request.occurrence = ref.occurrence;
+  request.step = ref.step;
+  double expected_slots = 0;
+  for (const auto& [is_full, free, slots, upstream] : unticketed) {
+    if (request.upstreams.size() >= kMaxRequestedUpstreams) break;
+    if (expected_slots >= needed && request.upstreams.size() >= kMinRequestedUpstreams) break;
+    expected_slots += slots;
+    request.upstreams.push_back(upstream->listing.id);
   }
-  question.expected_ms = static_cast<std::int64_t>(
-      std::ceil(terms.call_ms + terms.per_upstream_ms * static_cast<double>(question.upstreams.size())));
+  request.expected_ms = static_cast<std::int64_t>(
+      std::ceil(terms.call_ms + terms.per_upstream_ms * static_cast<double>(request.upstreams.size())));
   const TaskKey step_key{ref.job->id, ref.occurrence, ref.step, 0};
-  const bool is_asked =
-      m_desk.TryAsk(question, m_now, [this, step_key, named = question.upstreams](const PolicyReply& answer) {
-        OnPolicyAnswer(step_key, named, answer);
+  const bool is_sent = m_policy_calls.TryCall(
+      request, m_now, [this, step_key, requested = request.upstreams](const PolicyReply& policy_reply) {
+        OnPolicyReply(step_key, requested, policy_reply);
       });
-  if (is_asked) ++step.open_policy_calls;
+  if (is_sent) ++step.open_policy_calls;
 }
 
-void Scheduler::OnPolicyAnswer(const TaskKey& step_key, const std::vector<UpstreamId>& named,
-                               const PolicyReply& answer) {
+void Scheduler::OnPolicyReply(const TaskKey& step_key, const std::vector<UpstreamId>& requested,
+                              const PolicyReply& policy_reply) {
   Job* job = FindJob(step_key.job);
-  m_needs_placing = true;
+  m_needs_placement = true;
   if (m_is_retired || job == nullptr || FindTask(step_key) == nullptr) return;
   StepState& step = StepOf(*job, step_key);
   --step.open_policy_calls;
-  step.next_policy_call_at = m_now + kAskPause;
+  step.next_policy_call_at = m_now + kPolicyRequestInterval;
   const QueueConfig* queue = QueueOf(*job);
-  if (!answer.is_answered || queue == nullptr || !queue->policy) return;
-  const std::int64_t valid_ms = answer.ticket_ms > 0 ? answer.ticket_ms : queue->policy->ticket_ms;
-  for (const UpstreamId& id : named) step.policy_decisions[id] = false;
-  for (const auto& [id, ticket] : answer.tickets) {
+  if (!policy_reply.is_answered || queue == nullptr || !queue->policy) return;
+  const std::int64_t valid_ms = policy_reply.ticket_ms > 0 ? policy_reply.ticket_ms : queue->policy->ticket_ms;
+  for (const UpstreamId& id : requested) step.policy_decisions[id] = false;
+  for (const auto& [id, ticket] : policy_reply.tickets) {
     const UpstreamState* upstream = FindUpstream(id);
     if (upstream == nullptr) continue;
     step.policy_decisions[id] = true;
     step.tickets[id] = Ticket{ticket, m_now + std::chrono::milliseconds(valid_ms), upstream->incarnation};
   }
   double& share = m_allowed_share[queue->id];
-  const double seen = static_cast<double>(answer.tickets.size()) / static_cast<double>(named.size());
+  const double seen = static_cast<double>(policy_reply.tickets.size()) / static_cast<double>(requested.size());
   share += (seen - share) * kAllowedShareWeight;
 }
 
--- a/src/cell/scheduler_upstreams.cc
+++ b/src/cell/scheduler_upstreams.cc
@@ -13,22 +13,22 @@
 constexpr std::int64_t kSyncWaitMs = 1000;
 /// While answers are lost, a lost one holds up the ends of its upstream for a shorter time.
 constexpr std::int64_t kSyncWaitLossyMs = 250;
-constexpr Duration kLossMemory{4'000'000};
+constexpr Duration kLossyPeriod{4'000'000};
 /// An upstream can't have been started again and finished a run within this time after an answer.
-constexpr Duration kSameLife{150'000};
-constexpr int kFailedSyncsToSuspect = 2;
+constexpr Duration kSameIncarnationBound{150'000};
+constexpr int kUnreachableAfterFailedSyncs = 2;
 /// While ends wait to be stored a sync is answered at once, so it is repeated only to extend leases.
-constexpr Duration kUnstoredPause{300'000};
+constexpr Duration kUnstoredSyncInterval{300'000};
 /// Pause after a sync without an answer; grows with each failure up to the maximum.
-constexpr Duration kFailedPause{100'000};
-constexpr Duration kMaxFailedPause{500'000};
+constexpr Duration kFailedSyncDelay{100'000};
+constexpr Duration kMaxFailedSyncDelay{500'000};
 /// An upstream is not given work after this time without an answer beyond the wait.
-constexpr Duration kSuspectAfter{1'600'000};
+constexpr Duration kUnreachableAfter{1'600'000};
 /// A run whose progress does not change for this time hangs.
-constexpr Duration kHangBound{2'500'000};
+constexpr Duration kStalledRunTimeout{2'500'000};
 /// An upstream where runs of several jobs fail or hang gets no work for this time.
 constexpr Duration kQuarantine{4'000'000};
-constexpr int kFailuresToQuarantine = 2;
+constexpr int kQuarantineAfterFailures = 2;
 
 }  // namespace
 
@@ -37,22 +37,22 @@
   return found == m_upstreams.end() ? nullptr : &found->second;
 }
 
-UpstreamState& Scheduler::KnowUpstream(const UpstreamId& id) {
+UpstreamState& Scheduler::GetOrAddUpstream(const UpstreamId& id) {
   UpstreamState& upstream = m_upstreams[id];
   if (upstream.listing.id.empty()) {
     upstream.listing.id = id;
     upstream.token = m_epoch << 20U;
-    upstream.lapse_at = m_took_over_at + kLongestLease;
+    upstream.leases_expire_at = m_took_over_at + kMaxLease;
   }
   return upstream;
 }
 
 void Scheduler::OnUpstreamListed(UpstreamListing listing) {
-  UpstreamState& upstream = KnowUpstream(listing.id);
+  UpstreamState& upstream = GetOrAddUpstream(listing.id);
   if (!upstream.is_listed || upstream.listing.is_draining != listing.is_draining) {
     m_ports.events.Emit("upstream.listed",
                         {{"upstream", listing.id.value()}, {"draining", listing.is_draining ? "true" : "false"}});
-    m_needs_placing = true;
+    m_needs_placement = true;
   }
   upstream.is_listed = true;
   upstream.listing = std::move(listing);
@@ -73,9 +73,9 @@
 
 bool Scheduler::IsUsable(const UpstreamState& upstream) const {
   return upstream.is_listed && upstream.is_adopted && !upstream.listing.is_draining &&
-         upstream.listing.incarnation == upstream.incarnation && upstream.failed_syncs < kFailedSyncsToSuspect &&
-         upstream.quarantined_until <= m_now && m_now - upstream.answered_at < kSuspectAfter &&
-         !m_domains_out.contains(upstream.listing.domain);
+         upstream.listing.incarnation == upstream.incarnation && upstream.failed_syncs < kUnreachableAfterFailedSyncs &&
+         upstream.quarantined_until <= m_now && m_now - upstream.last_reply_at < kUnreachableAfter &&
+         !m_domains_out_of_service.contains(upstream.listing.domain);
 }
 
 std::size_t Scheduler::CountUsableUpstreams() const {
@@ -89,13 +89,13 @@
   return count;
 }
 
-void Scheduler::RepeatStops(UpstreamState& upstream) {
+void Scheduler::ResendDueStops(UpstreamState& upstream) {
   upstream.next_stop = Time::max();
   for (const TaskKey& key : std::vector<TaskKey>(upstream.tasks)) {
     TaskState* task = FindTask(key);
     if (task == nullptr || task->phase != TaskPhase::kStopping) continue;
     if (m_now >= task->stop_retry_at) {
-      task->stop_retry_at = m_now + kStopRetry;
+      task->stop_retry_at = m_now + kStopRetryDelay;
       SendStop(upstream, key, task->run);
     }
     upstream.next_stop = std::min(upstream.next_stop, task->stop_retry_at);
@@ -103,25 +103,25 @@
 }
 
 void Scheduler::SyncIfDue(UpstreamState& upstream) {
-  if (!upstream.tasks.empty() && m_now >= upstream.lapse_at) LoseAll(upstream, "lease lapsed");
-  if (m_now >= upstream.next_stop) RepeatStops(upstream);
+  if (!upstream.tasks.empty() && m_now >= upstream.leases_expire_at) MarkAllTasksLost(upstream, "lease lapsed");
+  if (m_now >= upstream.next_stop) ResendDueStops(upstream);
   if (upstream.is_syncing || m_now < upstream.next_sync || upstream.listing.address.empty()) return;
   if (!upstream.is_listed && upstream.tasks.empty()) return;
   const UpstreamId id = upstream.listing.id;
-  const bool has_unstored = !upstream.ends.empty();
+  const bool has_unstored_ends = !upstream.ends.empty();
   SyncOrder order;
   order.target = {id, upstream.listing.address, upstream.token};
   // After a pause the upstream may be a new life, whose ends have the same numbers and are not known yet.
-  const bool is_same_life = upstream.failed_syncs == 0 && m_now - upstream.answered_at < kSameLife;
-  order.acknowledged_end = is_same_life ? upstream.acknowledged_end : 0;
+  const bool is_same_incarnation = upstream.failed_syncs == 0 && m_now - upstream.last_reply_at < kSameIncarnationBound;
+  order.acknowledged_end = is_same_incarnation ? upstream.acknowledged_end : 0;
   // An upstream that does not answer gets no further lease, so that its work is surely over at some time.
   const bool extends_lease = upstream.is_adopted && upstream.clock_ms > 0 && upstream.failed_syncs == 0;
-  order.lease_until_ms = extends_lease ? LeaseUntil(upstream) : 0;
+  order.lease_until_ms = extends_lease ? GrantLease(upstream) : 0;
   const bool acknowledges_later = order.acknowledged_end != upstream.acknowledged_end;
-  const bool needs_answer = acknowledges_later || !upstream.is_adopted || upstream.failed_syncs > 0 || has_unstored ||
-                            upstream.sync_token != upstream.token;
-  const bool are_answers_lost = m_now - m_order_lost_at < kLossMemory;
-  order.wait_ms = needs_answer ? 0 : (are_answers_lost ? kSyncWaitLossyMs : kSyncWaitMs);
+  const bool needs_immediate_reply = acknowledges_later || !upstream.is_adopted || upstream.failed_syncs > 0 ||
+                                     has_unstored_ends || upstream.sync_token != upstream.token;
+  const bool is_lossy = m_now - m_order_timed_out_at < kLossyPeriod;
+  order.wait_ms = needs_immediate_reply ? 0 : (is_lossy ? kSyncWaitLossyMs : kSyncWaitMs);
   upstream.is_syncing = true;
   upstream.sync_sent_at = m_now;
   upstream.sync_token = upstream.token;
@@ -134,29 +134,29 @@
   if (m_is_retired || found == nullptr || found->sync_number != number) return;
   UpstreamState& upstream = *found;
   upstream.is_syncing = false;
-  if (reply.status == OrderStatus::kFenced && upstream.sync_token == upstream.token) m_fenced();
+  if (reply.status == OrderStatus::kFenced && upstream.sync_token == upstream.token) m_on_fenced();
   if (reply.status != OrderStatus::kAccepted) {
     ++upstream.failed_syncs;
-    if (reply.status == OrderStatus::kUnknown) m_order_lost_at = m_now;
+    if (reply.status == OrderStatus::kUnknown) m_order_timed_out_at = m_now;
     if (upstream.failed_syncs == 3) {
       m_ports.events.Emit("upstream.silent",
                           {{"upstream", id.value()}, {"reason", std::string(ToString(reply.status))}});
     }
-    const Duration pause = std::min(kMaxFailedPause, kFailedPause * upstream.failed_syncs);
+    const Duration pause = std::min(kMaxFailedSyncDelay, kFailedSyncDelay * upstream.failed_syncs);
     upstream.next_sync = m_now + pause;
     if (reply.status == OrderStatus::kOtherIncarnation && !upstream.tasks.empty()) {
-      LoseAll(upstream, "another upstream has its address");
+      MarkAllTasksLost(upstream, "another upstream has its address");
     }
     return;
   }
   upstream.failed_syncs = 0;
   const bool was_adopted = upstream.is_adopted;
-  const bool is_new_life = upstream.incarnation != reply.incarnation && upstream.incarnation != 0;
-  upstream.answered_at = m_now;
+  const bool is_new_incarnation = upstream.incarnation != reply.incarnation && upstream.incarnation != 0;
+  upstream.last_reply_at = m_now;
   upstream.clock_ms = reply.clock_ms;
   upstream.clock_at = m_now;
   upstream.incarnation = reply.incarnation;
-  if (is_new_life) {
+  if (is_new_incarnation) {
     m_ports.events.Emit("upstream.restarted", {{"upstream", id.value()}});
     upstream.ends.clear();
     upstream.acknowledged_end = 0;
@@ -174,25 +174,25 @@
   for (const EndedRun& row : reply.ended) {
     seen.insert(row.task);
     if (row.number <= upstream.acknowledged_end || upstream.ends.contains(row.number)) continue;
-    OnEnd(upstream, row);
+    OnEndedRun(upstream, row);
   }
   for (const ActiveRun& row : reply.running) {
     seen.insert(row.task);
-    OnRunning(upstream, row);
+    OnActiveRun(upstream, row);
   }
-  if (!reply.has_more_ends) LoseMissing(upstream, seen);
+  if (!reply.has_more_ends) MarkUnlistedTasksLost(upstream, seen);
   CheckProgress(upstream);
   AcknowledgeEnds(upstream);
-  upstream.next_sync = upstream.ends.empty() ? m_now : m_now + kUnstoredPause;
-  if (!was_adopted) m_needs_placing = true;
+  upstream.next_sync = upstream.ends.empty() ? m_now : m_now + kUnstoredSyncInterval;
+  if (!was_adopted) m_needs_placement = true;
 }
 
-void Scheduler::OnRunning(UpstreamState& upstream, const ActiveRun& row) {
+void Scheduler::OnActiveRun(UpstreamState& upstream, const ActiveRun& row) {
   TaskState* task = FindTask(row.task);
   Job* job = FindJob(row.task.job);
-  const bool is_ours =
+  const bool is_assigned_here =
       task != nullptr && task->run == row.run && task->upstream == upstream.listing.id && HasAllocation(task->phase);
-  if (!is_ours) {
+  if (!is_assigned_here) {
     m_ports.events.Emit("run.unknown", {{"task", FormatTaskKey(row.task)}, {"upstream", upstream.listing.id.value()}});
     SendStop(upstream, row.task, row.run);
     return;
@@ -212,10 +212,10 @@
     task->confirmed_at = m_now;
     task->progressed_at = m_now;
   }
-  NoteStart(*job);
+  MarkStarted(*job);
 }
 
-void Scheduler::OnEnd(UpstreamState& upstream, const EndedRun& row) {
+void Scheduler::OnEndedRun(UpstreamState& upstream, const EndedRun& row) {
   Job* job = FindJob(row.task.job);
   TaskState* task = FindTask(row.task);
   if (job == nullptr || task == nullptr) {
@@ -234,7 +234,7 @@
     }
   }
   upstream.ends[row.number] = false;
-  if (is_current) Release(*job, row.task, *task);
+  if (is_current) ReleaseCapacity(*job, row.task, *task);
   if (!row.checkpoint.empty()) task->checkpoint = row.checkpoint;
   job->has_started = true;
   if (row.kind == EndKind::kDone) {
@@ -260,10 +260,10 @@
                                       {"upstream", upstream.listing.id.value()},
                                       {"how", std::string(ToString(row.kind))}});
   }
-  Mark(*job);
-  WhenCommitted(*job, [this, id = upstream.listing.id, number = row.number, life = upstream.incarnation] {
+  MarkChanged(*job);
+  WhenCommitted(*job, [this, id = upstream.listing.id, number = row.number, ended_incarnation = upstream.incarnation] {
     UpstreamState* state = FindUpstream(id);
-    if (state == nullptr || state->incarnation != life) return;
+    if (state == nullptr || state->incarnation != ended_incarnation) return;
     const auto end = state->ends.find(number);
     if (end != state->ends.end()) end->second = true;
     AcknowledgeEnds(*state);
@@ -276,7 +276,7 @@
     upstream.last_failed_job = job.id.value();
     ++upstream.consecutive_failures;
   }
-  if (upstream.consecutive_failures >= kFailuresToQuarantine && upstream.quarantined_until <= m_now) {
+  if (upstream.consecutive_failures >= kQuarantineAfterFailures && upstream.quarantined_until <= m_now) {
     m_ports.events.Emit("upstream.quarantined", {{"upstream", upstream.listing.id.value()}, {"reason", "failures"}});
     upstream.quarantined_until = m_now + kQuarantine;
   }
@@ -304,7 +304,7 @@
   if (is_advanced && upstream.ends.empty()) upstream.next_sync = std::min(upstream.next_sync, m_now);
 }
 
-void Scheduler::LoseMissing(UpstreamState& upstream, const std::set<TaskKey>& seen) {
+void Scheduler::MarkUnlistedTasksLost(UpstreamState& upstream, const std::set<TaskKey>& seen) {
   std::vector<TaskKey> lost;
   for (const TaskKey& key : upstream.tasks) {
     const TaskState* task = FindTask(key);
@@ -314,14 +314,14 @@
     const bool is_older = task->confirmed_at < upstream.sync_sent_at;
     if (is_fenced || is_older) lost.push_back(key);
   }
-  for (const TaskKey& key : lost) LoseTask(key, "not in the list of its upstream");
+  for (const TaskKey& key : lost) MarkTaskLost(key, "not in the list of its upstream");
 }
 
-void Scheduler::LoseAll(UpstreamState& upstream, std::string_view reason) {
-  for (const TaskKey& key : std::vector<TaskKey>(upstream.tasks)) LoseTask(key, reason);
+void Scheduler::MarkAllTasksLost(UpstreamState& upstream, std::string_view reason) {
+  for (const TaskKey& key : std::vector<TaskKey>(upstream.tasks)) MarkTaskLost(key, reason);
 }
 
-void Scheduler::LoseTask(const TaskKey& key, std::string_view reason) {
+void Scheduler::MarkTaskLost(const TaskKey& key, std::string_view reason) {
   Job* job = FindJob(key.job);
   TaskState* task = FindTask(key);
   if (job == nullptr || task == nullptr || !HasAllocation(task->phase)) return;
@@ -330,20 +330,21 @@
                                     {"upstream", task->upstream.value()},
                                     {"reason", std::string(reason)}});
   const bool is_gang = job->spec.steps[key.step].is_gang;
-  Release(*job, key, *task);
+  ReleaseCapacity(*job, key, *task);
   StepState& step = StepOf(*job, key);
   if (is_gang && step.is_gang_done) {
     FinishTask(*job, key, *task);
   } else if (is_gang) {
     AbortGang(*job, key, "member was lost");
   }
-  Mark(*job);
+  MarkChanged(*job);
 }
 
 void Scheduler::CheckProgress(UpstreamState& upstream) {
   for (const TaskKey& key : std::vector<TaskKey>(upstream.tasks)) {
     TaskState* task = FindTask(key);
-    if (task == nullptr || task->phase != TaskPhase::kRunning || m_now - task->progressed_at < kHangBound) continue;
+    if (task == nullptr || task->phase != TaskPhase::kRunning || m_now - task->progressed_at < kStalledRunTimeout)
+      continue;
     Job& job = *FindJob(key.job);
     if (job.spec.steps[key.step].is_long_running) continue;
     StepState& step = StepOf(job, key);
--- a/src/cell/upstream_state.h
+++ b/src/cell/upstream_state.h
@@ -17,7 +17,7 @@
   UpstreamListing listing;
   bool is_listed = false;
   bool is_adopted = false;  ///< answered a sync under the token of this epoch
-  Resources used;           ///< room held by assigned tasks
+  Resources allocated;      ///< room held by assigned tasks
   std::vector<TaskKey> tasks;
   std::int64_t incarnation = 0;  ///< life whose lists were seen last
 
@@ -29,7 +29,7 @@
   Time clock_at{};
 
   /// When everything that was started here has surely lapsed, unless a lease is extended.
-  Time lapse_at{};
+  Time leases_expire_at{};
 
   /// When a stop has to be sent again; not later than the first one due.
   Time next_stop = Time::max();
@@ -40,7 +40,7 @@
   Time sync_sent_at{};
   std::uint64_t sync_token = 0;
   Time next_sync{};
-  Time answered_at{};
+  Time last_reply_at{};
   int failed_syncs = 0;
 
   // Ends: the number of each end seen, and whether it is in the store.
@@ -52,9 +52,9 @@
   std::string last_failed_job;
   Time quarantined_until{};
 
-  Resources Free() const { return listing.capacity - used; }
+  Resources FreeCapacity() const { return listing.capacity - allocated; }
 
-  std::int64_t ClockAt(Time now) const { return clock_ms + ToMillis(now - clock_at); }
+  std::int64_t ClockMsAt(Time now) const { return clock_ms + ToMillis(now - clock_at); }
 
   bool HasLabel(const std::string& label) const {
     return std::find(listing.labels.begin(), listing.labels.end(), label) != listing.labels.end();
--- a/src/cell_testing/cell_checks.h
+++ b/src/cell_testing/cell_checks.h
@@ -15,17 +15,17 @@
 inline constexpr int kNoSuchJob = static_cast<int>(ClientOutcome::kNoSuchJob);
 
 /// State of a job as an instance shows it.
-inline std::string GetJobState(SimulatedCluster& world, int index, const std::string& job) {
-  world.Call(index, "GET", job);
-  world.Run(std::chrono::milliseconds(300));
-  return world.LastBody("GET " + job);
+inline std::string GetJobState(SimulatedCluster& cluster, int index, const std::string& job) {
+  cluster.Call(index, "GET", job);
+  cluster.Run(std::chrono::milliseconds(300));
+  return cluster.LastBody("GET " + job);
 }
 
-inline void ExpectNoViolation(const SimulatedCluster& world) {
-  for (const std::string& violation : world.history.violations) ADD_FAILURE() << violation;
+inline void ExpectNoViolation(const SimulatedCluster& cluster) {
+  for (const std::string& violation : cluster.history.violations) ADD_FAILURE() << violation;
 }
 
 /// Index of an instance that does not lead.
-inline int AnyFollower(const SimulatedCluster& world) { return world.Leader() == 0 ? 1 : 0; }
+inline int AnyFollower(const SimulatedCluster& cluster) { return cluster.Leader() == 0 ? 1 : 0; }
 
 }  // namespace jaymast
--- a/src/cell_testing/fake_store.h
+++ b/src/cell_testing/fake_store.h
@@ -93,7 +93,7 @@
         m_queue.After(kLatency, [this, transaction] { m_store.Apply(transaction); });
         return m_queue.After(kTimeout, [done] { done({}); });
       case StoreFault::kAppliedLate:
-        m_queue.After(kLateBy, [this, transaction] { m_store.Apply(transaction); });
+        m_queue.After(kLateDelay, [this, transaction] { m_store.Apply(transaction); });
         return m_queue.After(kTimeout, [done] { done({}); });
       case StoreFault::kSlow:
       case StoreFault::kNone:
@@ -117,7 +117,7 @@
   static constexpr Duration kLatency{5'000};
   static constexpr Duration kSlowLatency{400'000};
   static constexpr Duration kTimeout{900'000};
-  static constexpr Duration kLateBy{2'500'000};
+  static constexpr Duration kLateDelay{2'500'000};
 
   EventQueue& m_queue;
   FakeStore& m_store;
--- a/src/cell_testing/fake_upstream.h
+++ b/src/cell_testing/fake_upstream.h
@@ -38,8 +38,8 @@
 /// One runner: keeps leases, fences and ends as the platform's runners do.
 class FakeUpstream {
  public:
-  FakeUpstream(EventQueue& queue, RunHistory& record, UpstreamListing listing)
-      : m_queue(queue), m_record(record), m_listing(std::move(listing)) {}
+  FakeUpstream(EventQueue& queue, RunHistory& history, UpstreamListing listing)
+      : m_queue(queue), m_history(history), m_listing(std::move(listing)) {}
 
   const UpstreamListing& listing() const { return m_listing; }
   std::size_t running_tasks() const { return m_running.size(); }
@@ -47,23 +47,24 @@
 
   OrderReply Start(const StartOrder& order, const FakeWork& work) {
     Advance();
-    OrderReply reply{OrderStatus::kAccepted, Clock()};
-    if (order.target.fencing_token < m_token) return {OrderStatus::kFenced, Clock()};
-    m_token = order.target.fencing_token;
-    if (order.lease_until_ms <= Clock()) return {OrderStatus::kExpiredOnArrival, Clock()};
+    OrderReply reply{OrderStatus::kAccepted, ClockMs()};
+    if (order.target.fencing_token < m_fencing_token) return {OrderStatus::kFenced, ClockMs()};
+    m_fencing_token = order.target.fencing_token;
+    if (order.lease_until_ms <= ClockMs()) return {OrderStatus::kExpiredOnArrival, ClockMs()};
     ExtendLease(order.lease_until_ms);
     const auto found = m_running.find(order.task);
     if (found != m_running.end() && found->second.run == order.run) return reply;
-    if (m_highest_run[order.task] >= order.run) return {OrderStatus::kStaleRun, Clock()};
-    if (found != m_running.end()) return {OrderStatus::kStaleRun, Clock()};
+    if (m_highest_run[order.task] >= order.run) return {OrderStatus::kStaleRun, ClockMs()};
+    if (found != m_running.end()) return {OrderStatus::kStaleRun, ClockMs()};
     Resources used = work.demand;
     for (const auto& [key, run] : m_running) used += run.work.demand;
-    if (!used.FitsIn(m_listing.capacity)) Violate("capacity exceeded", order.task);
-    if (m_record.running[order.task] > 0) Violate("two runs at one time", order.task);
-    if (m_record.acknowledged_done.contains(order.task)) Violate("started after its end was acknowledged", order.task);
-    ++m_record.running[order.task];
-    ++m_record.starts[order.task];
-    m_record.runs[order.task].insert(order.run);
+    if (!used.FitsIn(m_listing.capacity)) AddViolation("capacity exceeded", order.task);
+    if (m_history.running[order.task] > 0) AddViolation("two runs at one time", order.task);
+    if (m_history.acknowledged_done.contains(order.task))
+      AddViolation("started after its end was acknowledged", order.task);
+    ++m_history.running[order.task];
+    ++m_history.starts[order.task];
+    m_history.runs[order.task].insert(order.run);
     m_running[order.task] = {order.run, work, m_queue.now() + work.run_time};
     m_queue.After(work.run_time + Duration(1), [this] { Advance(); });
     return reply;
@@ -71,45 +72,45 @@
 
   OrderReply Stop(const StopOrder& order) {
     Advance();
-    if (order.target.fencing_token < m_token) return {OrderStatus::kFenced, Clock()};
-    m_token = order.target.fencing_token;
+    if (order.target.fencing_token < m_fencing_token) return {OrderStatus::kFenced, ClockMs()};
+    m_fencing_token = order.target.fencing_token;
     m_highest_run[order.task] = std::max(m_highest_run[order.task], order.run);
     const auto found = m_running.find(order.task);
     if (found != m_running.end() && found->second.run == order.run) End(order.task, EndKind::kStopped);
-    return {OrderStatus::kAccepted, Clock()};
+    return {OrderStatus::kAccepted, ClockMs()};
   }
 
   /// Answers now, or calls `done` at the next end or after the wait.
   void Sync(const SyncOrder& order, const std::function<void(SyncReply)>& done) {
     Advance();
-    if (order.target.fencing_token < m_token) {
+    if (order.target.fencing_token < m_fencing_token) {
       SyncReply reply;
       reply.status = OrderStatus::kFenced;
       return done(reply);
     }
-    m_token = order.target.fencing_token;
+    m_fencing_token = order.target.fencing_token;
     if (order.lease_until_ms > 0) ExtendLease(order.lease_until_ms);
     while (!m_ends.empty() && m_ends.front().number <= order.acknowledged_end) {
-      if (m_ends.front().kind == EndKind::kDone && !m_lapsed_since_end.contains(m_ends.front().number)) {
-        m_record.acknowledged_done.insert(m_ends.front().task);
+      if (m_ends.front().kind == EndKind::kDone && !m_ends_before_lease_expiry.contains(m_ends.front().number)) {
+        m_history.acknowledged_done.insert(m_ends.front().task);
       }
       m_ends.erase(m_ends.begin());
     }
-    if (!m_ends.empty() || order.wait_ms == 0) return done(List());
+    if (!m_ends.empty() || order.wait_ms == 0) return done(MakeSyncReply());
     const std::uint64_t number = ++m_wait_count;
-    m_waiting[number] = done;
-    m_queue.After(std::chrono::milliseconds(order.wait_ms), [this, number] { AnswerWait(number); });
+    m_waiting_syncs[number] = done;
+    m_queue.After(std::chrono::milliseconds(order.wait_ms), [this, number] { ReplyToWaiting(number); });
   }
 
   /// The process dies and comes back knowing nothing.
   void Restart() {
-    for (const auto& [key, run] : m_running) --m_record.running[key];
+    for (const auto& [key, run] : m_running) --m_history.running[key];
     m_running.clear();
     m_ends.clear();
-    m_waiting.clear();
+    m_waiting_syncs.clear();
     m_highest_run.clear();
-    m_lapsed_since_end.clear();
-    m_token = 0;
+    m_ends_before_lease_expiry.clear();
+    m_fencing_token = 0;
     m_last_end = 0;
     ++m_listing.incarnation;
     m_started_at = m_queue.now();
@@ -118,8 +119,8 @@
 
   /// Applies what has happened until now.
   void Advance() {
-    if (Clock() >= m_lease_until_ms) {
-      for (const EndedRun& end : m_ends) m_lapsed_since_end.insert(end.number);
+    if (ClockMs() >= m_lease_until_ms) {
+      for (const EndedRun& end : m_ends) m_ends_before_lease_expiry.insert(end.number);
       const auto running = m_running;
       for (const auto& [key, run] : running) End(key, EndKind::kLeaseExpired);
     }
@@ -139,36 +140,36 @@
     Time ends_at{};
   };
 
-  std::int64_t Clock() const { return 1 + ToMillis(m_queue.now() - m_started_at); }
+  std::int64_t ClockMs() const { return 1 + ToMillis(m_queue.now() - m_started_at); }
 
   void ExtendLease(std::int64_t until_ms) {
     m_lease_until_ms = std::max(m_lease_until_ms, until_ms);
-    m_queue.After(std::chrono::milliseconds(std::max<std::int64_t>(1, until_ms - Clock())), [this] { Advance(); });
+    m_queue.After(std::chrono::milliseconds(std::max<std::int64_t>(1, until_ms - ClockMs())), [this] { Advance(); });
   }
 
   void End(const TaskKey& key, EndKind kind) {
     const Run run = m_running.at(key);
     m_running.erase(key);
     m_highest_run[key] = std::max(m_highest_run[key], run.run);
-    --m_record.running[key];
-    if (kind == EndKind::kDone) ++m_record.done[key];
+    --m_history.running[key];
+    if (kind == EndKind::kDone) ++m_history.done[key];
     m_ends.push_back({++m_last_end, key, run.run, kind, ""});
-    const auto waiting = m_waiting;
-    for (const auto& [number, done] : waiting) AnswerWait(number);
+    const auto waiting = m_waiting_syncs;
+    for (const auto& [number, done] : waiting) ReplyToWaiting(number);
   }
 
-  void AnswerWait(std::uint64_t number) {
-    const auto found = m_waiting.find(number);
-    if (found == m_waiting.end()) return;
+  void ReplyToWaiting(std::uint64_t number) {
+    const auto found = m_waiting_syncs.find(number);
+    if (found == m_waiting_syncs.end()) return;
     const auto done = found->second;
-    m_waiting.erase(found);
-    done(List());
+    m_waiting_syncs.erase(found);
+    done(MakeSyncReply());
   }
 
-  SyncReply List() const {
+  SyncReply MakeSyncReply() const {
     SyncReply reply;
     reply.status = OrderStatus::kAccepted;
-    reply.clock_ms = Clock();
+    reply.clock_ms = ClockMs();
     reply.incarnation = m_listing.incarnation;
     reply.ended = m_ends;
     for (const auto& [key, run] : m_running) {
@@ -180,24 +181,24 @@
     return reply;
   }
 
-  void Violate(const std::string& what, const TaskKey& task) {
-    m_record.violations.push_back(what + ": " + FormatTaskKey(task) + " on " + m_listing.id.value() + " at " +
-                                  std::to_string(ToMillis(m_queue.now().time_since_epoch())));
+  void AddViolation(const std::string& what, const TaskKey& task) {
+    m_history.violations.push_back(what + ": " + FormatTaskKey(task) + " on " + m_listing.id.value() + " at " +
+                                   std::to_string(ToMillis(m_queue.now().time_since_epoch())));
   }
 
   EventQueue& m_queue;
-  RunHistory& m_record;
+  RunHistory& m_history;
   UpstreamListing m_listing;
-  std::uint64_t m_token = 0;
+  std::uint64_t m_fencing_token = 0;
   std::int64_t m_last_end = 0;
   std::int64_t m_lease_until_ms = 0;
   Time m_started_at{};
   std::map<TaskKey, Run> m_running;
   std::map<TaskKey, std::int32_t> m_highest_run;
   std::vector<EndedRun> m_ends;
-  std::set<std::int64_t> m_lapsed_since_end;
+  std::set<std::int64_t> m_ends_before_lease_expiry;
   std::uint64_t m_wait_count = 0;
-  std::map<std::uint64_t, std::function<void(SyncReply)>> m_waiting;
+  std::map<std::uint64_t, std::function<void(SyncReply)>> m_waiting_syncs;
 };
 
 }  // namespace jaymast
--- a/src/cell_testing/simulated_cluster.h
+++ b/src/cell_testing/simulated_cluster.h
@@ -137,9 +137,9 @@
       Instance& instance = *this->instances.back();
       instance.address = "i" + std::to_string(i);
       instance.store = std::make_unique<FakeStoreClient>(queue, store);
-      instance.upstreams = std::make_unique<FleetPort>(*this, instance);
-      instance.policy = std::make_unique<FakePolicy>(*this);
-      Boot(instance);
+      instance.upstreams = std::make_unique<FakeUpstreamClient>(*this, instance);
+      instance.policy = std::make_unique<FakePolicyClient>(*this);
+      StartInstance(instance);
     }
   }
 
@@ -149,10 +149,10 @@
     Instance& instance = At(index);
     instance.is_up = false;
     ++instance.process_incarnation;
-    m_dead.push_back(std::move(instance.cell));
+    m_stopped_cells.push_back(std::move(instance.cell));
   }
 
-  void Restart(int index) { Boot(At(index)); }
+  void Restart(int index) { StartInstance(At(index)); }
 
   int Leader() const {
     for (std::size_t i = 0; i < instances.size(); ++i) {
@@ -165,12 +165,12 @@
 
   /// Sends a call of a client to an instance. The status appears in `answers`.
   void Call(int index, const std::string& method, const std::string& job, const std::string& body = "",
-            const std::string& key = "key", std::int64_t patience_ms = 0) {
+            const std::string& key = "key", std::int64_t client_timeout_ms = 0) {
     HttpRequest request;
     request.method = method;
     request.target = "/q/" + job;
     request.body = body;
-    request.headers = {{"Key", key}, {"Patience", std::to_string(patience_ms)}};
+    request.headers = {{"Key", key}, {"Patience", std::to_string(client_timeout_ms)}};
     Instance& instance = At(index);
     if (!instance.is_up) return;
     instance.cell->OnClientRequest(std::move(request), [this, method, job](const HttpResponse& response) {
@@ -210,62 +210,62 @@
   int policy_calls = 0;
 
  private:
-  class FleetPort : public UpstreamClient {
+  class FakeUpstreamClient : public UpstreamClient {
    public:
-    FleetPort(SimulatedCluster& world, Instance& instance) : m_world(world), m_instance(instance) {}
+    FakeUpstreamClient(SimulatedCluster& cluster, Instance& instance) : m_cluster(cluster), m_instance(instance) {}
 
     void Start(const StartOrder& order, std::function<void(OrderReply)> done) override {
-      FakeUpstream* upstream = Reach(order.target);
-      const bool is_lost = upstream == nullptr || (m_world.drops_start && m_world.drops_start(order));
-      const auto late = m_world.start_delay ? m_world.start_delay(order) : Duration::zero();
+      FakeUpstream* upstream = FindReachable(order.target);
+      const bool is_lost = upstream == nullptr || (m_cluster.drops_start && m_cluster.drops_start(order));
+      const auto late = m_cluster.start_delay ? m_cluster.start_delay(order) : Duration::zero();
       if (late > Duration::zero() && upstream != nullptr) {
         // Orders that wait inside an upstream are lost with its process.
-        m_world.queue.After(late, [upstream, order, process_incarnation = upstream->listing().incarnation] {
-          if (upstream->listing().incarnation == process_incarnation) upstream->Start(order, WorkOf(order));
+        m_cluster.queue.After(late, [upstream, order, process_incarnation = upstream->listing().incarnation] {
+          if (upstream->listing().incarnation == process_incarnation) upstream->Start(order, ParseWork(order));
         });
       }
-      if (is_lost || late > Duration::zero()) return Later(kOrderTimeout, [done] { done({}); });
-      if (m_world.start_status) {
-        const OrderStatus status = m_world.start_status(order);
-        if (status != OrderStatus::kAccepted) return Later(kPeerLatency, [done, status] { done({status, 0}); });
+      if (is_lost || late > Duration::zero()) return RunLater(kOrderTimeout, [done] { done({}); });
+      if (m_cluster.start_status) {
+        const OrderStatus status = m_cluster.start_status(order);
+        if (status != OrderStatus::kAccepted) return RunLater(kPeerLatency, [done, status] { done({status, 0}); });
       }
-      m_world.queue.After(kPeerLatency, [this, upstream, order, done] {
-        const OrderReply reply = upstream->Start(order, WorkOf(order));
-        const bool is_silent = m_world.drops_start_reply && m_world.drops_start_reply(order);
-        Later(is_silent ? kOrderTimeout : kPeerLatency,
-              [done, reply, is_silent] { done(is_silent ? OrderReply{} : reply); });
+      m_cluster.queue.After(kPeerLatency, [this, upstream, order, done] {
+        const OrderReply reply = upstream->Start(order, ParseWork(order));
+        const bool drops_reply = m_cluster.drops_start_reply && m_cluster.drops_start_reply(order);
+        RunLater(drops_reply ? kOrderTimeout : kPeerLatency,
+                 [done, reply, drops_reply] { done(drops_reply ? OrderReply{} : reply); });
       });
     }
 
     void Stop(const StopOrder& order, std::function<void(OrderReply)> done) override {
-      FakeUpstream* upstream = Reach(order.target);
-      if (upstream == nullptr) return Later(kOrderTimeout, [done] { done({}); });
-      m_world.queue.After(kPeerLatency, [this, upstream, order, done] {
+      FakeUpstream* upstream = FindReachable(order.target);
+      if (upstream == nullptr) return RunLater(kOrderTimeout, [done] { done({}); });
+      m_cluster.queue.After(kPeerLatency, [this, upstream, order, done] {
         const OrderReply reply = upstream->Stop(order);
-        Later(kPeerLatency, [done, reply] { done(reply); });
+        RunLater(kPeerLatency, [done, reply] { done(reply); });
       });
     }
 
     void Sync(const SyncOrder& order, std::function<void(SyncReply)> done) override {
-      FakeUpstream* upstream = Reach(order.target);
+      FakeUpstream* upstream = FindReachable(order.target);
       const Duration limit = kOrderTimeout + std::chrono::milliseconds(order.wait_ms);
       auto is_done = std::make_shared<bool>(false);
       const auto once = [done, is_done](const SyncReply& reply) {
         if (std::exchange(*is_done, true)) return;
         done(reply);
       };
-      Later(limit, [once] { once({}); });
+      RunLater(limit, [once] { once({}); });
       if (upstream == nullptr) return;
-      m_world.queue.After(kPeerLatency, [this, upstream, order, once] {
+      m_cluster.queue.After(kPeerLatency, [this, upstream, order, once] {
         upstream->Sync(order, [this, upstream, once](const SyncReply& reply) {
           if (!upstream->is_reachable) return;
-          Later(kPeerLatency, [once, reply] { once(reply); });
+          RunLater(kPeerLatency, [once, reply] { once(reply); });
         });
       });
     }
 
    private:
-    static FakeWork WorkOf(const StartOrder& order) {
+    static FakeWork ParseWork(const StartOrder& order) {
       FakeWork work;
       const auto number = [&order](const std::string& name, std::int64_t fallback) {
         const std::size_t at = order.payload.find(name + "=");
@@ -278,49 +278,52 @@
       return work;
     }
 
-    FakeUpstream* Reach(const UpstreamTarget& target) {
-      FakeUpstream* upstream = m_world.FindUpstream(target.address);
-      const bool is_cut = m_instance.partitioned_from.contains(target.address);
-      if (upstream == nullptr || !upstream->is_reachable || is_cut) return nullptr;
+    FakeUpstream* FindReachable(const UpstreamTarget& target) {
+      FakeUpstream* upstream = m_cluster.FindUpstream(target.address);
+      const bool is_partitioned = m_instance.partitioned_from.contains(target.address);
+      if (upstream == nullptr || !upstream->is_reachable || is_partitioned) return nullptr;
       return upstream;
     }
 
     /// Calls back unless the process has ended.
-    void Later(Duration delay, std::function<void()> action) { m_world.LaterFor(m_instance, delay, std::move(action)); }
+    void RunLater(Duration delay, std::function<void()> action) {
+      m_cluster.RunLaterOn(m_instance, delay, std::move(action));
+    }
 
-    SimulatedCluster& m_world;
+    SimulatedCluster& m_cluster;
     Instance& m_instance;
   };
 
-  class FakePolicy : public PolicyClient {
+  class FakePolicyClient : public PolicyClient {
    public:
-    explicit FakePolicy(SimulatedCluster& world) : m_world(world) {}
+    explicit FakePolicyClient(SimulatedCluster& cluster) : m_cluster(cluster) {}
     void RequestTickets(const std::string& /*agent*/, const PolicyRequest& question,
                         std::function<void(PolicyReply)> done) override {
-      ++m_world.policy_calls;
-      PolicyReply answer;
-      answer.is_answered = true;
-      answer.ticket_ms = 2000;
-      for (const UpstreamId& id : question.upstreams) answer.tickets.emplace_back(id, "ticket");
-      m_world.queue.After(std::chrono::milliseconds(question.expected_ms), [done, answer] { done(answer); });
+      ++m_cluster.policy_calls;
+      PolicyReply policy_reply;
+      policy_reply.is_answered = true;
+      policy_reply.ticket_ms = 2000;
+      for (const UpstreamId& id : question.upstreams) policy_reply.tickets.emplace_back(id, "ticket");
+      m_cluster.queue.After(std::chrono::milliseconds(question.expected_ms),
+                            [done, policy_reply] { done(policy_reply); });
     }
 
    private:
-    SimulatedCluster& m_world;
+    SimulatedCluster& m_cluster;
   };
 
   class FakeFeeds : public CellFeeds {
    public:
-    FakeFeeds(SimulatedCluster& world, Instance& instance, FeedListener& listener)
-        : m_world(world), m_instance(instance), m_listener(listener) {}
+    FakeFeeds(SimulatedCluster& cluster, Instance& instance, FeedListener& listener)
+        : m_cluster(cluster), m_instance(instance), m_listener(listener) {}
     void OnTick(Time now) override {
       const StoreFault fault = m_instance.store->fault;
       if ((fault != StoreFault::kNone && fault != StoreFault::kSlow) || now < m_next) return;
       m_next = now + std::chrono::milliseconds(100);
-      m_listener.OnConfig(std::make_shared<const CellConfig>(*m_world.config));
-      m_listener.OnDomainsOutOfService(m_world.domains_out_of_service);
+      m_listener.OnConfig(std::make_shared<const CellConfig>(*m_cluster.config));
+      m_listener.OnDomainsOutOfService(m_cluster.domains_out_of_service);
       std::set<UpstreamId> listed;
-      for (const auto& upstream : m_world.fake_upstreams) {
+      for (const auto& upstream : m_cluster.fake_upstreams) {
         if (!upstream->is_reachable) continue;
         m_listener.OnUpstreamListed(upstream->listing());
         listed.insert(upstream->listing().id);
@@ -330,23 +333,23 @@
     }
 
    private:
-    SimulatedCluster& m_world;
+    SimulatedCluster& m_cluster;
     Instance& m_instance;
     FeedListener& m_listener;
     Time m_next{};
   };
 
-  void LaterFor(Instance& instance, Duration delay, std::function<void()> action) {
+  void RunLaterOn(Instance& instance, Duration delay, std::function<void()> action) {
     queue.After(delay, [this, &instance, process_incarnation = instance.process_incarnation,
                         action = std::move(action)]() mutable {
       if (instance.process_incarnation != process_incarnation) return;
       // A frozen process handles what came in meanwhile when it wakes.
-      if (instance.is_paused) return LaterFor(instance, kTick, std::move(action));
+      if (instance.is_paused) return RunLaterOn(instance, kTick, std::move(action));
       action();
     });
   }
 
-  void Boot(Instance& instance) {
+  void StartInstance(Instance& instance) {
     instance.is_up = true;
     ++instance.process_incarnation;
     CellInstance::Ports ports{*instance.store,
@@ -380,7 +383,7 @@
       if (std::exchange(*is_done, true)) return;
       done(result);
     };
-    LaterFor(from, std::max(Duration(1), deadline - queue.now()), [once] { once({}); });
+    RunLaterOn(from, std::max(Duration(1), deadline - queue.now()), [once] { once({}); });
     Instance* target = nullptr;
     for (const auto& instance : instances) {
       if (instance->address == address) target = instance.get();
@@ -390,17 +393,17 @@
     if (!target->is_up) {
       PeerResult refused;
       refused.was_sent = false;
-      return LaterFor(from, kPeerLatency, [once, refused] { once(refused); });
+      return RunLaterOn(from, kPeerLatency, [once, refused] { once(refused); });
     }
-    LaterFor(*target, kPeerLatency, [this, &from, target, request = std::move(request), once] {
+    RunLaterOn(*target, kPeerLatency, [this, &from, target, request = std::move(request), once] {
       target->cell->OnPeerRequest(request, [this, &from, once](const HttpResponse& response) {
-        LaterFor(from, kPeerLatency, [once, response] { once({true, true, response}); });
+        RunLaterOn(from, kPeerLatency, [once, response] { once({true, true, response}); });
       });
     });
   }
 
   TraceEvents m_events{queue};
-  std::vector<std::unique_ptr<CellInstance>> m_dead;  ///< callbacks on their way refer to them
+  std::vector<std::unique_ptr<CellInstance>> m_stopped_cells;  ///< callbacks on their way refer to them
 };
 
 }  // namespace jaymast
