--- a/src/cell/admission_controller.cc
+++ b/src/cell/admission_controller.cc
@@ -6,11 +6,11 @@
 namespace jaymast {
 namespace {
 
-/// An organisation may send this many seconds of its weight at once.
+/// Burst of an organisation, in seconds of its weight.
 constexpr double kBurstSeconds = 2.0;
-/// Work of an organisation beyond its weight is admitted only while the queue is below this time.
+/// Jobs beyond the weight of the organisation are admitted only while the expected wait is below this time.
 constexpr double kMaxWaitBeyondWeightS = 0.5;
-/// Part of the slack that waiting may use up; the rest covers rough estimates and uneven room.
+/// Part of the slack that waiting may use up; the rest covers inaccurate estimates and fragmented capacity.
 constexpr double kMaxSlackShare = 0.8;
 constexpr std::int64_t kMaxRetryAfterS = 10;
 
@@ -26,7 +26,7 @@
     bucket.tokens = std::min(burst, bucket.tokens + elapsed_s * load.weight);
     bucket.refilled_at = now;
   }
-  // Tasks that fit into the free room wait for tickets or a commit only, not for other work to end.
+  // Tasks that fit into the free capacity wait only for tickets or a commit, not for other tasks to end.
   const double blocked_share =
       load.queued_cores > load.free_cores ? (load.queued_cores - load.free_cores) / load.queued_cores : 0;
   const double wait_s = load.total_cores > 0 ? load.queued_core_s * blocked_share / load.total_cores : kMaxRetryAfterS;
--- a/src/cell/admission_controller.h
+++ b/src/cell/admission_controller.h
@@ -8,14 +8,14 @@
 
 namespace jaymast {
 
-/// The load that an arriving job meets.
+/// Load of the cell when a job arrives.
 struct AdmissionLoad {
   double total_cores = 0;
-  double free_cores = 0;     ///< of total_cores, not held by any task
-  double queued_cores = 0;   ///< demand of the waiting tasks that come before the job
-  double queued_core_s = 0;  ///< their work
-  double slack_s = 0;        ///< time that the job can wait and still be timely
-  double weight = 1;         ///< jobs a second that the organisation is owed
+  double free_cores = 0;     ///< part of total_cores that no task holds
+  double queued_cores = 0;   ///< demand of the waiting tasks that are scheduled before the job
+  double queued_core_s = 0;  ///< estimated work of those tasks
+  double slack_s = 0;        ///< time that the job can wait and still meet its objective
+  double weight = 1;         ///< guaranteed admission rate of the organisation in jobs/s
 };
 
 struct AdmissionDecision {
@@ -23,7 +23,7 @@
   std::int64_t retry_after_s = 0;
 };
 
-/// Decides at arrival whether a job can still be served in time.
+/// Decides at arrival whether a job can be completed in time.
 class AdmissionController {
  public:
   AdmissionDecision Decide(const TeamId& team, const AdmissionLoad& load, Time now);
--- a/src/cell/admission_controller_test.cc
+++ b/src/cell/admission_controller_test.cc
@@ -18,8 +18,8 @@
   return load;
 }
 
-// Guards against refusals while upstreams are free: a burst that waits for tickets is not waiting for room.
-TEST(AdmissionControllerTest, BurstThatFitsIntoFreeRoomIsAdmitted) {
+// Guards against refusals while upstreams are free: a burst that waits for tickets does not wait for capacity.
+TEST(AdmissionControllerTest, AdmitsBurstThatFitsIntoFreeCapacity) {
   AdmissionController admission;
   AdmissionLoad load = FullCell();
   load.queued_core_s = 5000;
@@ -28,32 +28,32 @@
 }
 
 // Guards against jobs that are accepted although the queue ahead of them is longer than they can wait.
-TEST(AdmissionControllerTest, JobThatWouldBeLateIsRefusedWithTheTimeUntilItWouldNot) {
+TEST(AdmissionControllerTest, RefusesLateJobWithTimeToRetry) {
   AdmissionController admission;
   AdmissionLoad load = FullCell();
   EXPECT_TRUE(admission.Decide(TeamId("a"), load, Time(Duration(1))).is_admitted);
   load.queued_core_s = 4000;
   const AdmissionDecision decision = admission.Decide(TeamId("a"), load, Time(Duration(1)));
   EXPECT_FALSE(decision.is_admitted);
-  EXPECT_EQ(decision.retry_after_s, 4) << "3.2 s until the queue is at four fifths of the slack";
+  EXPECT_EQ(decision.retry_after_s, 4) << "3.2 s until the expected wait is four fifths of the slack";
 }
 
-// Guards against one organisation that fills the queue for all others.
-TEST(AdmissionControllerTest, OrganisationBeyondItsWeightIsRefusedFirst) {
+// Guards against one organisation that takes the queue capacity of all others.
+TEST(AdmissionControllerTest, RefusesOrganisationBeyondItsWeightFirst) {
   AdmissionController admission;
   AdmissionLoad load = FullCell();
   load.queued_core_s = 600;
   Time now(Duration(1'000'000));
   int admitted = 0;
   for (int i = 0; i < 100; ++i) admitted += admission.Decide(TeamId("hot"), load, now).is_admitted ? 1 : 0;
-  EXPECT_EQ(admitted, 20) << "two seconds of its weight";
+  EXPECT_EQ(admitted, 20) << "burst of two seconds of its weight";
   EXPECT_TRUE(admission.Decide(TeamId("other"), load, now).is_admitted);
   now += milliseconds(500);
-  EXPECT_TRUE(admission.Decide(TeamId("hot"), load, now).is_admitted) << "its weight has refilled";
+  EXPECT_TRUE(admission.Decide(TeamId("hot"), load, now).is_admitted) << "its token bucket has refilled";
 }
 
-// Guards against endless accepting while no upstream can be used.
-TEST(AdmissionControllerTest, CellWithoutUpstreamsAdmitsNothing) {
+// Guards against unbounded admission while no upstream is usable.
+TEST(AdmissionControllerTest, RefusesAllJobsWithoutUpstreams) {
   AdmissionController admission;
   AdmissionLoad load = FullCell();
   load.total_cores = 0;
--- a/src/cell/cell_event_sink.h
+++ b/src/cell/cell_event_sink.h
@@ -10,7 +10,7 @@
 /// Fields of an event in the order in which they are written.
 using EventFields = std::initializer_list<std::pair<std::string_view, std::string>>;
 
-/// Takes one event for each decision of the cell. Event ids are stable and listed in docs/OPERATIONS.md.
+/// Receives one event for each decision of the cell. Event ids are stable and listed in docs/OPERATIONS.md.
 class CellEventSink {
  public:
   virtual ~CellEventSink() = default;
--- a/src/cell/cell_feeds.h
+++ b/src/cell/cell_feeds.h
@@ -10,12 +10,12 @@
 
 namespace jaymast {
 
-/// Takes what operators and upstreams write to the platform's store.
+/// Receives the configuration and the upstream list from the platform's store.
 class FeedListener {
  public:
   virtual ~FeedListener() = default;
   virtual void OnConfig(std::shared_ptr<const CellConfig> config) = 0;
-  /// What was told is complete as of this time.
+  /// Everything reported so far is current as of this time.
   virtual void OnConfigCurrent(Time as_of) = 0;
   virtual void OnDomainsOutOfService(std::set<DomainId> domains) = 0;
   virtual void OnUpstreamListed(UpstreamListing listing) = 0;
@@ -23,7 +23,7 @@
   virtual void OnUpstreamListComplete(const std::set<UpstreamId>& listed) = 0;
 };
 
-/// Follows the platform's store and tells a listener of changes.
+/// Watches the platform's store and notifies a listener of changes.
 class CellFeeds {
  public:
   virtual ~CellFeeds() = default;
--- a/src/cell/client_call.h
+++ b/src/cell/client_call.h
@@ -17,13 +17,13 @@
   ClientAction action = ClientAction::kReadState;
   std::string host;
   std::string path;                ///< without query
-  std::optional<std::string> key;  ///< of the client's organisation
-  std::string call_id;             ///< the same for all copies of one call of a client
-  std::optional<JobSpec> spec;     ///< set for a submission that could be read
+  std::optional<std::string> key;  ///< API key of the client's organisation
+  std::string call_id;             ///< the same for all retries and copies of one call
+  std::optional<JobSpec> spec;     ///< set for a submission that was parsed
 };
 
 enum class ClientOutcome {
-  kAccepted,  ///< the job is in the store
+  kAccepted,  ///< the job is committed to the store
   kState,
   kCancelled,
   kQueueLength,
@@ -31,9 +31,9 @@
   kNoSuchQueue,
   kUnknownKey,
   kMalformed,
-  kOverloaded,   ///< certainly not run; come back after retry_after_s
-  kUnavailable,  ///< certainly not run; the cell cannot accept now
-  kNotLeader,    ///< not decided; another instance is or becomes the leader
+  kOverloaded,   ///< certainly not run; retry after retry_after_s
+  kUnavailable,  ///< certainly not run; the cell can't accept jobs now
+  kNotLeader,    ///< undecided; another instance is or becomes the leader
 };
 
 struct ClientReply {
--- a/src/cell/group_committer.cc
+++ b/src/cell/group_committer.cc
@@ -5,13 +5,14 @@
 namespace jaymast {
 namespace {
 
-/// Pause between two transactions with changes, which groups the changes of a burst.
+/// Shortest time between two transactions with changes, which groups the changes of a burst.
 constexpr Duration kBatchInterval{10'000};
-/// Transactions without changes show the followers that the leader lives; well below the takeover silence.
+/// Longest time between two transactions. One without changes shows the followers that the leader is alive; well below
+/// the election timeout.
 constexpr Duration kIdleCommitInterval{250'000};
-/// Pause before a refused or unanswered transaction is sent again.
+/// Delay before a refused transaction, or one without a reply, is sent again.
 constexpr Duration kRetryDelay{40'000};
-/// An answer that takes longer is counted as an outage of the store.
+/// A reply that takes longer counts as an outage of the store.
 constexpr Duration kSlowReplyBound{400'000};
 
 }  // namespace
--- a/src/cell/group_committer.h
+++ b/src/cell/group_committer.h
@@ -11,43 +11,43 @@
 
 namespace jaymast {
 
-/// What a writer wants committed in the next transaction.
+/// Writes for the next transaction.
 struct CommitBatch {
   std::vector<StateWrite> writes;
-  std::function<void()> committed;  ///< called once the writes are certainly in the store
+  std::function<void()> committed;  ///< called after the writes are known to be committed
 };
 
-/// Log of the leader: one transaction at a time, each on condition that the previous one was the last.
+/// Commits the leader's writes in batches, one transaction at a time, each guarded by the version of the leader row.
 ///
-/// A transaction without an answer is sent again unchanged. Both copies carry the same condition and the same writes,
-/// so at most one of them takes effect, and it does not matter which.
+/// A transaction without a reply is sent again unchanged. Both copies carry the same condition and the same writes, so
+/// at most one of them takes effect, and it does not matter which.
 class GroupCommitter {
  public:
-  /// Makes the next batch; an empty batch is fine.
+  /// Returns the next batch, which may be empty.
   using BatchSource = std::function<CommitBatch()>;
 
-  /// @param record the leader row as it was written by the takeover, with its version
+  /// @param record the leader row as written by the takeover; `guard_version` is its version
   GroupCommitter(StateStore& store, LeaderRecord record, std::int64_t guard_version, BatchSource collect,
                  std::function<void()> deposed, std::function<void()> request_tick);
 
-  /// Asks for a transaction soon.
+  /// Requests a transaction at the next opportunity.
   void MarkDirty() { m_is_dirty = true; }
 
   /// Sends the next transaction if one is due.
   void OnTick(Time now);
 
-  /// Writes the leader row without an address after everything else, so that the successor need not wait.
+  /// Writes the leader row without an address after all pending writes, so that the successor need not wait.
   void HandOver(std::string successor);
 
   bool is_handed_over() const { return m_is_handed_over; }
   std::uint64_t epoch() const { return m_record.epoch; }
-  /// The leader row as of the last transaction that certainly took effect.
+  /// The leader row as of the last transaction that is known to have taken effect.
   const LeaderRecord& committed_record() const { return m_committed_record; }
   std::int64_t committed_version() const { return m_guard_version; }
 
   /// When the last transaction that took effect was sent: no other leader existed at that time.
   Time confirmed_at() const { return m_confirmed_at; }
-  /// Whether the store has failed to answer or refused for longer than `bound`.
+  /// Whether the store has not replied or has refused transactions for longer than `bound`.
   bool IsStalled(Time now, Duration bound) const { return m_failing_since && now - *m_failing_since > bound; }
   std::int64_t store_now_ms(Time now) const { return m_store_now_ms + ToMillis(now - m_store_now_at); }
 
@@ -73,7 +73,7 @@
   bool m_is_handed_over = false;
   std::string m_successor;
   std::uint64_t m_attempt = 0;
-  std::optional<StateCommitReply> m_reply;  ///< handled by the next tick, as a process may have stood still
+  std::optional<StateCommitReply> m_reply;  ///< handled by the next tick, as the process may have been paused
   Time m_now{};
   Time m_sent_at{};
   Time m_first_sent_at{};
--- a/src/cell/leader_election.cc
+++ b/src/cell/leader_election.cc
@@ -6,14 +6,14 @@
 namespace jaymast {
 namespace {
 
-/// Pause between two reads of the leader row while the leader shows no progress.
+/// Time between two reads of the leader row while the leader shows no progress.
 constexpr Duration kReadInterval{150'000};
 /// Instances of rank 0 to 7 start their attempts this much apart, so that most need not write.
 constexpr Duration kRankDelay{15'000};
 constexpr std::uint64_t kRanks = 8;
-/// Weak instances leave this much time to the others.
+/// Further delay of low-priority instances.
 constexpr Duration kLowPriorityDelay{400'000};
-/// Others leave the named successor this much time after a handover.
+/// Time after a handover in which only the named successor takes over.
 constexpr Duration kSuccessorHeadStart{250'000};
 
 }  // namespace
@@ -75,7 +75,7 @@
   m_next_read = m_now + kReadInterval;
   if (m_is_leader) return;
   if (!reply.is_available) {
-    // Silence of the leader during an outage of the store is no sign that it is gone.
+    // An unchanged row during an outage of the store is no sign that the leader is gone.
     m_version.reset();
     return;
   }
@@ -95,7 +95,7 @@
   if (m_is_retired) return;
   const bool is_vacant = m_leader.address.empty();
   if (is_vacant && (version == 0 || m_leader.successor == m_address)) return Campaign();
-  // A row with the address of this instance is left over from an earlier process at it.
+  // A row with the address of this instance was left by an earlier process at the same address.
   const bool is_high_priority = m_delay < kLowPriorityDelay;
   if (m_leader.address == m_address && is_high_priority) return Campaign();
   const Duration needed =
@@ -121,8 +121,8 @@
       m_leader = record;
       return m_on_elected(record, reply.version);
     }
-    // An attempt without an answer may still win. The next read shows the row with this address, which no journal
-    // rewrites, so it falls silent and is taken over like that of any other leader.
+    // An attempt without a reply may still win. The next read then shows the row with this address, which nobody
+    // rewrites, so it times out and is taken over like that of any other leader.
     m_version.reset();
     m_next_read = m_now;
   });
--- a/src/cell/leader_election.h
+++ b/src/cell/leader_election.h
@@ -11,32 +11,32 @@
 
 namespace jaymast {
 
-/// Decides when this instance takes over as the leader.
+/// Elects this instance as the leader when the present leader is gone.
 ///
 /// The leader rewrites the leader row with each transaction. An instance takes over when it has read the row twice,
-/// `kTakeoverSilence` apart, with the same version, or when the leader has handed over. The conditional write lets one
-/// instance win. The new epoch fences the upstreams, so no lease of the old leader has to run out first.
+/// `kElectionTimeout` apart, with the same version, or when the leader has handed over. The conditional write lets
+/// only one instance win. The new epoch fences the upstreams, so no lease of the old leader has to expire first.
 class LeaderElection {
  public:
-  /// Called with the record and version of the leader row after this instance has won.
+  /// Called after this instance has won, with the record and version of the leader row.
   using ElectedCallback = std::function<void(const LeaderRecord&, std::int64_t version)>;
 
   /// @param address peer address of this instance
-  /// @param rank spreads the attempts of instances over time
-  /// @param is_weak whether the instance leads only if no stronger one does
+  /// @param rank staggers the attempts of the instances
+  /// @param is_low_priority whether the instance leads only if no high-priority one does
   LeaderElection(StateStore& store, std::string address, std::uint64_t rank, bool is_low_priority,
                  ElectedCallback on_elected);
 
   void OnTick(Time now);
 
-  /// The leader has told over a peer connection what its last transaction was.
+  /// The leader has reported its last transaction over a peer connection.
   /// @param version of the leader row
   void OnLeaderProgress(const LeaderRecord& record, std::int64_t version, Time now);
 
-  /// Nobody listens at the address of the leader, so a shorter silence is enough.
+  /// The address of the leader refuses connections, so a shorter timeout is enough.
   void OnLeaderConnectionRefused(Time now);
 
-  /// Reads the row at the next tick, because the leader is said to have handed over.
+  /// Reads the row at the next tick; for use when a handover was reported.
   void RequestRead();
 
   /// This instance is not the leader any more.
@@ -45,15 +45,15 @@
   /// This instance does not take over any more.
   void Retire() { m_is_retired = true; }
 
-  /// Address of the leader as last seen, empty when unknown or handed over.
+  /// Last known address of the leader, empty if unknown or after a handover.
   const std::string& leader_address() const { return m_leader.address; }
   std::uint64_t leader_epoch() const { return m_leader.epoch; }
 
-  /// The row must be unchanged for this time; above three times the idle pause of the journal.
+  /// The row must be unchanged for this time; three times the idle commit interval of the leader.
   static constexpr Duration kElectionTimeout{750'000};
-  /// Silence that is enough when nobody listens at the address of the leader; above the idle pause of the journal.
+  /// Timeout when the address of the leader refuses connections; above the idle commit interval of the leader.
   static constexpr Duration kRefusedElectionTimeout{350'000};
-  /// Progress over the peer connections makes reading the row unnecessary for this time.
+  /// Progress reported over the peer connections makes reading the row unnecessary for this time.
   static constexpr Duration kProgressTimeout{500'000};
 
  private:
@@ -63,7 +63,7 @@
 
   StateStore& m_store;
   const std::string m_address;
-  const Duration m_delay;  ///< time that this instance leaves to others
+  const Duration m_delay;  ///< added to the election timeout
   const ElectedCallback m_on_elected;
   bool m_is_leader = false;
   bool m_is_retired = false;
@@ -73,7 +73,7 @@
   std::optional<std::int64_t> m_version;  ///< of the row as last read; 0 when absent
   Time m_version_seen_at{};               ///< when the row was first read with this version
   Time m_progress_at{};
-  bool m_is_connection_refused = false;  ///< nobody listens at the address of the leader
+  bool m_is_connection_refused = false;  ///< the address of the leader refuses connections
   Time m_next_read{};
   Time m_now{};
 };
--- a/src/cell/leader_record.h
+++ b/src/cell/leader_record.h
@@ -10,12 +10,12 @@
 inline constexpr const char* kLeaderTable = "cell";
 inline constexpr const char* kLeaderKey = "leader";
 
-/// The row that every transaction of the leader depends on and rewrites.
+/// The leader row, which guards every transaction of the leader and is rewritten by it.
 struct LeaderRecord {
   std::uint64_t epoch = 0;     ///< number of the takeover
   std::uint64_t sequence = 0;  ///< number of the transaction within the epoch
-  std::string address;         ///< peer address of the leader, empty when it handed over
-  std::string successor;       ///< peer address that is asked to take over first, or empty
+  std::string address;         ///< peer address of the leader, empty after a handover
+  std::string successor;       ///< peer address of the preferred next leader, or empty
 
   friend bool operator==(const LeaderRecord&, const LeaderRecord&) = default;
 };
--- a/src/cell/log_record.h
+++ b/src/cell/log_record.h
@@ -14,10 +14,10 @@
 inline constexpr const char* kRecordTable = "records";
 
 enum class RecordKind {
-  kJob,        ///< queue, organisation and specification
-  kProgress,   ///< what changes while the job is open
-  kFinal,      ///< replaces both at the end
-  kTombstone,  ///< the job is forgotten; hides older records until their rows are removed
+  kJob,        ///< queue, organisation and specification of the job
+  kProgress,   ///< state that changes while the job is active
+  kFinal,      ///< replaces both after the job has ended
+  kTombstone,  ///< the job was dropped; hides older records until their rows are removed
 };
 
 template <>
@@ -25,18 +25,18 @@
   static constexpr std::array<std::string_view, 4> kNames = {"job", "progress", "final", "gone"};
 };
 
-/// One record in a row of the log.
+/// One record of a log row.
 struct LogRecord {
   JobId job;
   RecordKind kind = RecordKind::kJob;
   std::string text;  ///< without line breaks
 };
 
-/// One line of a row: "JOB KIND TEXT".
+/// Encodes a record as one line of a row: "JOB KIND TEXT".
 std::string EncodeLogRecord(const JobId& job, RecordKind kind, std::string_view text);
 
-/// Reads all lines of a row.
-/// @return the records, or nothing when a line does not have the form of EncodeLogRecord
+/// Decodes all lines of a row.
+/// @return the records, or nothing if a line is malformed
 std::optional<std::vector<LogRecord>> DecodeLogRow(std::string_view text);
 
 }  // namespace jaymast
--- a/src/cell/policy_call_dispatcher.h
+++ b/src/cell/policy_call_dispatcher.h
@@ -12,41 +12,41 @@
 
 namespace jaymast {
 
-/// Spreads the calls to the policy service over the instances, each of which has one call at a time.
+/// Distributes calls to the policy service over the instances, as the service takes one call at a time from each.
 ///
-/// Callers ask in the order of their urgency and are turned away while all instances are busy. Part of the instances is
-/// kept for short calls, so that a preview does not wait behind a long call.
+/// Calls are not queued: while all instances are busy, TryCall() fails and the scheduler retries in order of urgency.
+/// Some instances are reserved for short calls, so that a preview does not wait behind a long call.
 class PolicyCallDispatcher {
  public:
-  explicit PolicyCallDispatcher(PolicyClient& port) : m_port(port) {}
+  explicit PolicyCallDispatcher(PolicyClient& client) : m_client(client) {}
 
-  /// Replaces the instances that make calls. The empty address stands for this instance.
+  /// Replaces the instances that make calls, given by peer address. The empty address stands for this instance.
   void SetPolicyCallers(const std::vector<std::string>& addresses);
 
-  /// Whether a call of this length would be made now.
+  /// Whether TryCall() would make a call that takes `expected_ms`.
   bool CanCall(std::int64_t expected_ms, Time now) const;
 
-  /// Makes a call if an instance has room for it.
+  /// Makes a call if an instance is free for it.
   /// @return whether the call was made; only then is `done` called
   bool TryCall(const PolicyRequest& request, Time now, std::function<void(const PolicyReply&)> done);
 
   /// Calls up to this length count as short.
-  static constexpr std::int64_t kShortCallMs = 60;
+  static constexpr std::int64_t kMaxShortCallMs = 60;
 
  private:
   struct Caller {
-    int open_short = 0;
-    int open_long = 0;
-    Time blocked_until{};  ///< after a call without an answer
+    int open_short_calls = 0;
+    int open_long_calls = 0;
+    Time blocked_until{};  ///< set after a call without a reply
   };
 
-  /// Address of the instance that should make the call, or nothing when all are busy.
+  /// Address of the instance that should make the call, or nothing if all are busy.
   std::optional<std::string> FindCaller(std::int64_t expected_ms, Time now) const;
-  std::size_t LongLimit() const;
+  std::size_t MaxLongCalls() const;
 
-  PolicyClient& m_port;
+  PolicyClient& m_client;
   std::map<std::string, Caller> m_callers;
-  std::size_t m_open_long = 0;
+  std::size_t m_open_long_calls = 0;
 };
 
 }  // namespace jaymast
--- a/src/cell/policy_call_dispatcher_test.cc
+++ b/src/cell/policy_call_dispatcher_test.cc
@@ -10,56 +10,57 @@
 namespace jaymast {
 namespace {
 
-class RecordingPort : public PolicyClient {
+class RecordingPolicyClient : public PolicyClient {
  public:
-  void RequestTickets(const std::string& caller, const PolicyRequest& /*question*/,
+  void RequestTickets(const std::string& caller, const PolicyRequest& /*request*/,
                       std::function<void(PolicyReply)> done) override {
     calls.emplace_back(caller, std::move(done));
   }
   std::vector<std::pair<std::string, std::function<void(PolicyReply)>>> calls;
 };
 
-PolicyRequest Question(std::int64_t expected_ms) {
+PolicyRequest MakeRequest(std::int64_t expected_ms) {
   PolicyRequest request;
   request.job = JobId("job");
   request.expected_ms = expected_ms;
   return request;
 }
 
-// Guards against previews that wait behind long calls: some instances are kept for short ones.
-TEST(AdviceDeskTest, LongCallsLeaveInstancesForShortOnes) {
-  RecordingPort port;
-  PolicyCallDispatcher dispatcher(port);
+// Guards against previews that wait behind long calls because no instance is reserved for short ones.
+TEST(PolicyCallDispatcherTest, ReservesInstancesForShortCalls) {
+  RecordingPolicyClient client;
+  PolicyCallDispatcher dispatcher(client);
   dispatcher.SetPolicyCallers({"", "a", "b", "c", "d", "e", "f", "g"});
   const Time now(Duration(1));
   int long_calls = 0;
-  for (int i = 0; i < 20; ++i) long_calls += dispatcher.TryCall(Question(600), now, [](const PolicyReply&) {}) ? 1 : 0;
+  for (int i = 0; i < 20; ++i)
+    long_calls += dispatcher.TryCall(MakeRequest(600), now, [](const PolicyReply&) {}) ? 1 : 0;
   EXPECT_EQ(long_calls, 6);
-  EXPECT_TRUE(dispatcher.TryCall(Question(17), now, [](const PolicyReply&) {}));
+  EXPECT_TRUE(dispatcher.TryCall(MakeRequest(17), now, [](const PolicyReply&) {}));
 }
 
-// Guards against two long calls at one instance, of which the second waits for the first.
-TEST(AdviceDeskTest, EachInstanceHasOneLongCall) {
-  RecordingPort port;
-  PolicyCallDispatcher dispatcher(port);
+// Guards against a second long call at an instance, which would wait for the first.
+TEST(PolicyCallDispatcherTest, MakesOneLongCallPerInstance) {
+  RecordingPolicyClient client;
+  PolicyCallDispatcher dispatcher(client);
   dispatcher.SetPolicyCallers({"", "a"});
   const Time now(Duration(1));
-  EXPECT_TRUE(dispatcher.TryCall(Question(600), now, [](const PolicyReply&) {}));
-  EXPECT_FALSE(dispatcher.TryCall(Question(600), now, [](const PolicyReply&) {}));
+  EXPECT_TRUE(dispatcher.TryCall(MakeRequest(600), now, [](const PolicyReply&) {}));
+  EXPECT_FALSE(dispatcher.TryCall(MakeRequest(600), now, [](const PolicyReply&) {}));
   PolicyReply reply;
   reply.is_answered = true;
-  port.calls.front().second(reply);
-  EXPECT_TRUE(dispatcher.TryCall(Question(600), now, [](const PolicyReply&) {}));
+  client.calls.front().second(reply);
+  EXPECT_TRUE(dispatcher.TryCall(MakeRequest(600), now, [](const PolicyReply&) {}));
 }
 
-// Guards against asking again and again through an instance that does not answer.
-TEST(AdviceDeskTest, InstanceWithoutAnAnswerIsLeftOut) {
-  RecordingPort port;
-  PolicyCallDispatcher dispatcher(port);
+// Guards against repeated calls through an instance that does not reply.
+TEST(PolicyCallDispatcherTest, SkipsInstanceAfterMissingReply) {
+  RecordingPolicyClient client;
+  PolicyCallDispatcher dispatcher(client);
   dispatcher.SetPolicyCallers({"a"});
   const Time now(Duration(1));
-  ASSERT_TRUE(dispatcher.TryCall(Question(17), now, [](const PolicyReply&) {}));
-  port.calls.front().second({});
+  ASSERT_TRUE(dispatcher.TryCall(MakeRequest(17), now, [](const PolicyReply&) {}));
+  client.calls.front().second({});
   EXPECT_FALSE(dispatcher.CanCall(17, now));
   EXPECT_TRUE(dispatcher.CanCall(17, now + std::chrono::seconds(2)));
 }
--- a/src/cell/policy_client.h
+++ b/src/cell/policy_client.h
@@ -13,26 +13,26 @@
 
 namespace jaymast {
 
-/// Asks which of some upstreams may run a step.
+/// Request to the policy service: which of these upstreams may run a step?
 struct PolicyRequest {
   JobId job;
   std::size_t occurrence = 0;
   std::size_t step = 0;
   std::vector<UpstreamId> upstreams;
-  std::int64_t expected_ms = 0;  ///< time that the policy service needs
+  std::int64_t expected_ms = 0;  ///< expected duration of the call
 };
 
 struct PolicyReply {
   bool is_answered = false;
-  std::vector<std::pair<UpstreamId, std::string>> tickets;  ///< of the upstreams that may run the step
-  std::int64_t ticket_ms = 0;                               ///< life of the tickets, 0 when not told
+  std::vector<std::pair<UpstreamId, std::string>> tickets;  ///< one for each upstream that may run the step
+  std::int64_t ticket_ms = 0;                               ///< validity of the tickets, 0 if not reported
 };
 
-/// The policy service takes one call at a time from each instance, so calls are spread over instances.
+/// Calls the policy service, which takes one call at a time from each instance.
 class PolicyClient {
  public:
   virtual ~PolicyClient() = default;
-  /// @param agent peer address of the instance that makes the call, empty for this one
+  /// @param caller peer address of the instance that makes the call, empty for this one
   virtual void RequestTickets(const std::string& caller, const PolicyRequest& request,
                               std::function<void(PolicyReply)> done) = 0;
 };
--- a/src/cell/record_log.cc
+++ b/src/cell/record_log.cc
@@ -12,15 +12,15 @@
 constexpr std::size_t kMaxRowBytes = std::size_t{32} * 1024;
 /// Removals in one transaction, which carries at most 100 rows.
 constexpr std::size_t kMaxRemovals = 60;
-/// Rows that are not worth emptying: a page of a scan carries 500.
+/// Up to this many rows nothing is compacted: a page of a scan carries 500.
 constexpr std::size_t kMinRowsToCompact = 100;
-/// Beyond kFreeRows, rows are emptied until they hold this many bytes that count on average.
+/// Beyond kMinRowsToCompact, rows are compacted until they hold this many live bytes on average.
 constexpr std::size_t kTargetLiveBytesPerRow = 4'096;
-/// A row that holds more is not emptied, as writing it again costs more than reading it.
+/// A row with more live bytes is not compacted, as writing it again costs more than reading it.
 constexpr std::size_t kMaxCompactedBytes = std::size_t{16} * 1024;
 constexpr int kKeyDigits = 12;
 
-/// Keys of one length, so that their order is that of the rows.
+/// Returns a key of fixed length, so that keys sort in the order of the rows.
 std::string RowKey(std::int64_t row) { return fmt::format("{:0{}}", row, kKeyDigits); }
 
 }  // namespace
--- a/src/cell/record_log_test.cc
+++ b/src/cell/record_log_test.cc
@@ -14,7 +14,7 @@
 
 using Rows = std::map<std::string, std::string>;
 
-/// What a successor finds of a job.
+/// State of a job as a successor reads it.
 struct FoundJob {
   RecordKind kind = RecordKind::kTombstone;
   std::string text;
@@ -35,7 +35,7 @@
   return writes.size();
 }
 
-/// Reads rows as a successor does.
+/// Reads the rows in the same way as a successor.
 std::map<std::string, FoundJob> ReadAll(const Rows& rows, RecordLog* log = nullptr) {
   std::map<std::string, FoundJob> found;
   for (const auto& [key, text] : rows) {
@@ -59,7 +59,7 @@
   return found;
 }
 
-/// Jobs that come, make progress, end and are forgotten, with the state that a successor has to find.
+/// Random jobs that are added, make progress, end and are dropped, with the state that a successor must find.
 class Workload {
  public:
   explicit Workload(unsigned seed) : m_random(seed) {}
@@ -79,7 +79,7 @@
     ended.push_back(job);
     if (ended.size() > kRetainedJobs) {
       log.Forget(JobId(ended.front()));
-      // A successor may still show a job that the leader has forgotten, but only as ended.
+      // A successor may still show a job that the leader has dropped, but only as ended.
       forgotten[ended.front()] = expected[ended.front()];
       expected.erase(ended.front());
       ended.erase(ended.begin());
@@ -134,8 +134,8 @@
   int m_jobs = 0;
 };
 
-// Guards against a job that a successor finds in an older state, not at all, or alive again after its end.
-TEST(RecordLogTest, SuccessorFindsTheNewestStateAtAnyTransaction) {
+// Guards against a successor that finds a job in an older state, not at all, or active after its end.
+TEST(RecordLogTest, SuccessorFindsNewestStateAfterAnyTransaction) {
   for (unsigned seed = 1; seed <= 6; ++seed) {
     Workload load(seed);
     Rows rows;
@@ -149,13 +149,14 @@
       if (is_takeover || transaction % 50 == 0) load.Check(ReadAll(rows, is_takeover ? log.get() : nullptr));
     }
     load.Check(ReadAll(rows));
-    // At most one page more than the records that count need.
+    // At most one page more than the live records need.
     EXPECT_LE(rows.size(), 500U) << "seed " << seed;
   }
 }
 
-// Guards against an ended job that comes back to life, because the row with its end goes before one with its start.
-TEST(RecordLogTest, EndOutlivesOlderRecordsOfTheJob) {
+// Guards against an ended job that a successor finds active, because the row with its final record was removed before
+// an older one.
+TEST(RecordLogTest, FinalRecordOutlivesOlderRecords) {
   RecordLog log;
   Rows rows;
   log.Put(JobId("lasting"), RecordKind::kJob, "specification");
@@ -171,8 +172,8 @@
   EXPECT_FALSE(ReadAll(rows).contains("short"));
 }
 
-// Guards against rows that stay in the store for ever.
-TEST(RecordLogTest, NothingIsLeftOfForgottenJobs) {
+// Guards against rows that are never removed from the store.
+TEST(RecordLogTest, RemovesAllRowsOfDroppedJobs) {
   RecordLog log;
   Rows rows;
   for (int i = 0; i < 500; ++i) {
@@ -189,8 +190,8 @@
   EXPECT_TRUE(rows.empty()) << rows.size();
 }
 
-// Guards against rows above the size that the store takes.
-TEST(RecordLogTest, BurstIsSplitIntoRows) {
+// Guards against rows above the size limit of the store.
+TEST(RecordLogTest, SplitsBurstIntoRows) {
   RecordLog log;
   Rows rows;
   for (int i = 0; i < 100; ++i) log.Put(JobId("job" + std::to_string(i)), RecordKind::kJob, std::string(5'000, 'x'));
@@ -199,8 +200,8 @@
   for (const auto& [key, text] : rows) EXPECT_LE(text.size(), 65'536U);
 }
 
-// Guards against a row of another version that ends the process.
-TEST(RecordLogTest, UnreadableRowsAreReported) {
+// Guards against a process exit caused by a row of another version.
+TEST(RecordLogTest, ReportsMalformedRows) {
   EXPECT_FALSE(DecodeLogRow("job1 job text").has_value()) << "no line break";
   EXPECT_FALSE(DecodeLogRow("job1\n").has_value());
   EXPECT_FALSE(DecodeLogRow("job1 unknown text\n").has_value());
--- a/src/cell/refused_calls.h
+++ b/src/cell/refused_calls.h
@@ -9,10 +9,10 @@
 
 namespace jaymast {
 
-/// Submissions that were refused lately, by the id of the call.
+/// Remembers recently refused submissions by the id of the call.
 ///
-/// A relayed call may reach the leader twice: again after a silent connection, and late. Once its client was told that
-/// the job does not run, the other copy must not be accepted.
+/// A relayed call may reach the leader twice, as it is sent again after a connection timeout. Once the client has the
+/// response that the job does not run, the late copy must not be accepted.
 class RefusedCalls {
  public:
   void Add(const std::string& call_id, Time now) {
@@ -30,7 +30,7 @@
   }
 
  private:
-  /// A copy that is held up by a cut arrives within this time; cuts last 10 s at most.
+  /// A copy delayed by a network partition arrives within this time; partitions last 10 s at most.
   static constexpr Duration kRetention{15'000'000};
 
   std::set<std::string> m_ids;
--- a/src/cell/scheduler.cc
+++ b/src/cell/scheduler.cc
@@ -12,11 +12,11 @@
 
 /// A transaction carries at most 1 MB; rows are encoded with a third more.
 constexpr std::size_t kMaxBatchBytes = 500'000;
-/// The chain of an objective counts one policy call that names this many upstreams for each step.
+/// The objective allows one policy call with this many upstreams for each step.
 constexpr double kUpstreamsPerCallInObjective = 30;
-/// Ended jobs are shown for this time; clients may ask for 120 s.
+/// Ended jobs are kept for this time; clients may read them for 120 s.
 constexpr Duration kEndedJobRetention{300'000'000};
-/// A job is worth something until this multiple of its objective.
+/// The hard deadline of a job is this multiple of its objective.
 constexpr int kLateFactor = 3;
 
 }  // namespace
@@ -113,7 +113,7 @@
     const JobId id = m_commit_queue.front();
     m_commit_queue.pop_front();
     Job* job = FindJob(id);
-    // A record that was moved has taken the place of the queued one.
+    // Compaction may already have recorded the queued change.
     if (job != nullptr && job->is_queued_for_commit) record(*job);
   }
   while (!m_ended.empty() && m_ended.front().first <= m_now) {
@@ -166,7 +166,7 @@
   if (!job.is_spec_recorded) {
     m_log.Put(job.id, RecordKind::kJob, EncodeJobRecord(job));
     job.is_spec_recorded = true;
-    // A job without progress is read as one of which nothing has started.
+    // A job without a progress record is loaded as one without runs.
     if (HasNoProgress(job)) return;
   }
   m_log.Put(job.id, RecordKind::kProgress, EncodeProgressRecord(job));
--- a/src/cell/scheduler.h
+++ b/src/cell/scheduler.h
@@ -27,16 +27,16 @@
 
 namespace jaymast {
 
-/// What the leader knows of its own standing, refreshed at each tick.
+/// Leadership status, refreshed at each tick.
 struct LeadershipStatus {
   Time confirmed_at{};                ///< no other leader existed at this time
-  bool is_store_stalled = false;      ///< the store does not answer this leader
-  bool is_store_unavailable = false;  ///< for so long that another instance can't reach it either
+  bool is_store_stalled = false;      ///< the store does not reply to this leader
+  bool is_store_unavailable = false;  ///< for so long that no instance can reach it
   std::int64_t store_now_ms = 0;
   std::int64_t unix_now_ms = 0;  ///< time of day, which may jump
 };
 
-/// Decisions of the leader: accepts jobs, places their tasks, starts and stops them, and keeps the record of both.
+/// Schedules jobs on the leader: accepts them, places, starts and stops their tasks, and records both.
 ///
 /// No sockets, clocks or threads. A start is sent only after its assignment is in the store, and an end is
 /// acknowledged to its upstream only after it is in the store.
@@ -48,38 +48,38 @@
     CellEventSink& events;
   };
 
-  /// @param epoch number of the takeover; all tokens of this leader lie above those of earlier ones
-  /// @param fenced called when an upstream has seen the token of a later leader
+  /// @param epoch number of the takeover; all fencing tokens of this leader are above those of earlier ones
+  /// @param on_fenced called when an upstream has seen the fencing token of a later leader
   Scheduler(Ports ports, std::uint64_t epoch, Time now, std::function<void()> mark_dirty,
             std::function<void()> on_fenced);
 
-  // Loading, before the first tick.
+  // Loading of recorded jobs, before the first tick.
   void LoadRow(const StateRow& row, const std::vector<LogRecord>& records) { m_log.AddLoadedRow(row, records); }
   void LoadJob(Job job, std::int64_t age_ms);
-  /// Builds the use of upstreams and organisations from the recorded jobs.
+  /// Computes the allocated capacity of upstreams and organisations from the recorded jobs.
   void FinishLoading();
 
-  // Feeds from the platform.
+  // Changes from the platform.
   void OnConfig(std::shared_ptr<const CellConfig> config);
-  /// The feed answered at this time, so the configuration is current as of then.
+  /// The configuration is current as of this time.
   void OnConfigCurrent(Time now) { m_config_current_at = now; }
   void OnDomainsOutOfService(std::set<DomainId> domains);
   void OnUpstreamListed(UpstreamListing listing);
   void OnUpstreamUnlisted(const UpstreamId& id);
-  /// Removes all upstreams that are not in a complete list.
+  /// Unlists all upstreams that are not in the complete list.
   void OnUpstreamListComplete(const std::set<UpstreamId>& listed);
 
   void SetPolicyCallers(const std::vector<std::string>& addresses) { m_policy_calls.SetPolicyCallers(addresses); }
-  /// Makes all callbacks ineffective.
+  /// Ignores all later callbacks.
   void Retire() { m_is_retired = true; }
   void SetLeadershipStatus(const LeadershipStatus& status) { m_leadership = status; }
 
   void OnClientCall(const ClientCall& call, const ClientReplyFunction& reply);
-  /// Sets the time for everything that comes before the next tick.
+  /// Sets the current time until the next tick.
   void SetNow(Time now) { m_now = now; }
   void OnTick(Time now);
 
-  /// Rows that have changed since the last call.
+  /// Returns the rows that have changed since the last call.
   CommitBatch CollectBatch();
 
   std::size_t active_jobs() const { return m_active.size(); }
@@ -91,20 +91,21 @@
   std::size_t CountUnacknowledgedEnds() const;
 
  private:
-  /// Work that this leader can't reach is over this long after the takeover: earlier leaders bound their leases so.
+  /// Tasks of earlier leaders on unreachable upstreams have ended this long after the takeover, as no lease lasts
+  /// longer.
   static constexpr Duration kMaxLease{10'800'000};
-  /// Answers that are on their way when a lease ends.
+  /// Time for replies that are in flight when a lease expires.
   static constexpr Duration kLeaseExpiryMargin{300'000};
-  /// A stop without a listed end is sent again after this time.
+  /// A stop is sent again after this time unless the end of the run was reported.
   static constexpr Duration kStopRetryDelay{500'000};
-  /// An upstream that refused a start or could not be reached gets no start for this time.
+  /// An upstream that refused a start or was unreachable gets no start for this time.
   static constexpr Duration kRefusalQuarantine{700'000};
 
   struct StepRef {
     Job* job = nullptr;
     std::size_t occurrence = 0;
     std::size_t step = 0;
-    int lateness = 0;  ///< 0 can be timely, 1 can be late, 2 is worth nothing any more
+    int lateness = 0;  ///< 0: before the objective, 1: late, 2: past the hard deadline
     std::int64_t priority = 0;
     Time objective{};
   };
@@ -121,10 +122,11 @@
   void SetObjective(Job& job);
   void FinishTask(Job& job, const TaskKey& key, TaskState& task);
   void EndJob(Job& job, JobState state);
-  /// @return whether no occurrence of the job is left that is due later
+  /// Creates the steps of the occurrences that are due.
+  /// @return whether all occurrences of the job are open
   bool OpenDueOccurrences(Job& job);
   static bool HasNoProgress(const Job& job);
-  /// Puts what the store does not have of a job into the next transaction.
+  /// Adds the changes of a job to the next transaction.
   void PutRecords(Job& job);
 
   // scheduler_clients.cc
@@ -147,13 +149,13 @@
   void StopAll(Job& job, std::string_view reason);
   void AbortGang(Job& job, const TaskKey& key, std::string_view reason);
   void StopUnconfirmedMembers(Job& job, const TaskKey& key);
-  /// Makes all orders up to a token void, so that the next list settles what became of them.
+  /// Invalidates all orders up to a fencing token, so that the next sync shows which of them took effect.
   void Fence(UpstreamState& upstream, std::uint64_t order_token);
   std::int64_t GrantLease(UpstreamState& upstream);
 
   // scheduler_upstreams.cc
   UpstreamState* FindUpstream(const UpstreamId& id);
-  /// The upstream, which becomes known by this if it was not.
+  /// Returns the upstream and adds it if it is unknown.
   UpstreamState& GetOrAddUpstream(const UpstreamId& id);
   bool IsUsable(const UpstreamState& upstream) const;
   void ResendDueStops(UpstreamState& upstream);
@@ -163,7 +165,7 @@
   void OnEndedRun(UpstreamState& upstream, const EndedRun& row);
   void OnFailedRun(Job& job, const TaskKey& key, TaskState& task, UpstreamState& upstream);
   void AcknowledgeEnds(UpstreamState& upstream);
-  void MarkUnlistedTasksLost(UpstreamState& upstream, const std::set<TaskKey>& seen);
+  void MarkUnlistedTasksLost(UpstreamState& upstream, const std::set<TaskKey>& reported);
   void MarkAllTasksLost(UpstreamState& upstream, std::string_view reason);
   void MarkTaskLost(const TaskKey& key, std::string_view reason);
   void CheckProgress(UpstreamState& upstream);
@@ -189,7 +191,7 @@
   Time m_now;
   LeadershipStatus m_leadership;
   std::shared_ptr<const CellConfig> m_config;
-  std::map<QueueId, QueueConfig> m_known_queues;  ///< also those that were removed, for jobs accepted before
+  std::map<QueueId, QueueConfig> m_known_queues;  ///< includes removed queues, for jobs accepted before
   Time m_config_current_at{};
   std::set<DomainId> m_domains_out_of_service;
   std::unordered_map<JobId, std::unique_ptr<Job>> m_jobs;
@@ -197,20 +199,20 @@
   std::map<JobId, Job*> m_unopened;  ///< active jobs with occurrences that are not due yet
   std::deque<JobId> m_commit_queue;
   RecordLog m_log;
-  std::deque<std::pair<Time, JobId>> m_ended;  ///< when ended jobs are forgotten
+  std::deque<std::pair<Time, JobId>> m_ended;  ///< ended jobs by the time at which they are dropped
   std::map<UpstreamId, UpstreamState> m_upstreams;
   std::map<TeamId, Resources> m_team_usage;
   RefusedCalls m_refused_calls;
   PolicyCallDispatcher m_policy_calls;
   AdmissionController m_admission;
-  std::map<QueueId, double> m_allowed_share;  ///< learned share of upstreams that the policy allows
-  std::set<UpstreamId> m_reserved_upstreams;  ///< for waiting gangs, within one pass
+  std::map<QueueId, double> m_allowed_share;  ///< running mean of the share of upstreams that the policy allows
+  std::set<UpstreamId> m_reserved_upstreams;  ///< for waiting gangs, within one placement pass
   std::uint64_t m_token_counter = 0;
   bool m_is_retired = false;
   bool m_needs_placement = true;
   std::vector<std::pair<TaskKey, std::int32_t>>
-      m_postponed_starts;       ///< starts that wait until this leader is confirmed
-  Time m_order_timed_out_at{};  ///< when an order or sync last had no answer
+      m_postponed_starts;       ///< starts that wait until the leadership is confirmed
+  Time m_order_timed_out_at{};  ///< when an order or sync last got no reply
   Time m_next_placement{};
 };
 
--- a/src/cell/scheduler_clients.cc
+++ b/src/cell/scheduler_clients.cc
@@ -9,13 +9,13 @@
 namespace jaymast {
 namespace {
 
-/// A negative answer from an older configuration could be wrong; the leader re-reads it at least this often.
+/// A rejection based on an older configuration could be wrong; the leader reads it again at least this often.
 constexpr Duration kMaxConfigAge{1'700'000};
-/// Answers that need no write are given only while no other leader can have written for this long.
+/// Responses without a write are sent only while the leadership was confirmed within this time.
 constexpr Duration kMaxUnconfirmed{1'200'000};
-/// Upstreams that can be reached answer a new leader within this time.
+/// Reachable upstreams reply to a new leader within this time.
 constexpr Duration kAdoptionTime{1'000'000};
-/// The end of an outage is not known; clients wait 3 s in all, so a longer pause would cost them most of it.
+/// The end of an outage is unknown; clients wait 3 s in all, so a longer delay would use up most of it.
 constexpr std::int64_t kStoreRetryAfterS = 1;
 /// The progress of a job fits into one row of 64 KiB: a task takes up to 60 bytes.
 constexpr std::int64_t kMaxTasksOfJob = 1'000;
@@ -43,7 +43,7 @@
   }
   const JobId id(call.path.substr(queue->prefix.size()));
   Job* job = FindJob(id);
-  // A copy of the call that was accepted is answered alike, even if the key was revoked in between.
+  // A copy of an accepted call gets the same response, even if the key was revoked in between.
   const bool is_copy =
       call.action == ClientAction::kSubmit && job != nullptr && !call.call_id.empty() && job->call_id == call.call_id;
   if (is_copy) return Acknowledge(*job, reply);
@@ -61,7 +61,7 @@
     return reply({ClientOutcome::kQueueLength, {}, CountWaitingJobs(queue->id)});
   }
   if (call.action == ClientAction::kCancel) {
-    // A revoked key must not cancel either, so the configuration has to be current.
+    // A revoked key must not cancel, so the configuration must be current.
     if (!is_config_fresh) return reply({ClientOutcome::kNotLeader});
     return Cancel(id, reply);
   }
@@ -140,7 +140,7 @@
     load.slack_s = objective_s - chain_s;
     const auto team_config = m_config->teams.find(team);
     if (team_config != m_config->teams.end()) load.weight = team_config->second.weight;
-    // Right after a takeover no upstream has answered yet, which is no sign of overload.
+    // Right after a takeover no upstream has replied yet, which is no sign of overload.
     const bool is_adopting = load.total_cores <= 0 && m_now - m_took_over_at < kAdoptionTime;
     const AdmissionDecision decision = is_adopting ? AdmissionDecision{} : m_admission.Decide(team, load, m_now);
     if (!decision.is_admitted) {
--- a/src/cell/scheduler_orders.cc
+++ b/src/cell/scheduler_orders.cc
@@ -9,14 +9,15 @@
 namespace jaymast {
 namespace {
 
-/// Work survives a cut of 6 s between the leader and the upstream; work on a crashed upstream is repeated after it.
+/// Tasks survive a network partition of 6 s between leader and upstream; tasks of a crashed upstream are started again
+/// after this time.
 constexpr Duration kLeaseDuration{7'000'000};
-/// Leases end at most this long after the leader was last confirmed, so a successor knows when work that it can't reach
-/// is over.
+/// Leases end at most this long after the leadership was last confirmed, so a successor knows when tasks on unreachable
+/// upstreams have ended.
 constexpr Duration kMaxLeaseAfterConfirmation{10'000'000};
-/// A start is sent only if no other leader existed this long ago; above the time of a commit in a slow store.
+/// A start is sent only if the leadership was confirmed within this time; above the commit time of a slow store.
 constexpr Duration kMaxStartUnconfirmed{1'000'000};
-/// An unanswered start is sent again this often before the upstream is fenced.
+/// A start without a reply is sent this many times before the upstream is fenced.
 constexpr std::int32_t kMaxSendAttempts = 3;
 }  // namespace
 
@@ -36,7 +37,7 @@
   const Time bound = m_leadership.confirmed_at + kMaxLeaseAfterConfirmation;
   const Duration span = std::min(kLeaseDuration, bound - m_now);
   if (span <= Duration::zero()) return 0;
-  // The clock of an upstream may be slow, so the lease may last longer here than there.
+  // The clock of the upstream may be slow, so the lease may last longer on the clock of the leader.
   upstream.leases_expire_at = std::max(upstream.leases_expire_at, m_now + span + span / 32 + kLeaseExpiryMargin);
   return upstream.ClockMsAt(m_now) + ToMillis(span);
 }
@@ -46,7 +47,7 @@
   if (task == nullptr || task->run != run) return;
   if (task->phase != TaskPhase::kAssigned && task->phase != TaskPhase::kStarting) return;
   if (m_now - m_leadership.confirmed_at > kMaxStartUnconfirmed) {
-    // Another leader may have taken over while this process stood still, and a restarted upstream knows no fence.
+    // Another leader may have taken over while this process was paused, and a restarted upstream has no fencing token.
     m_postponed_starts.emplace_back(key, run);
     return;
   }
@@ -64,7 +65,7 @@
       if (job.spec.steps[key.step].is_gang) AbortGang(job, key, "member was not sent");
       return;
     }
-    // The start may still arrive; the fence and the next list settle what became of it.
+    // The start may still arrive; after the fence the next sync shows whether it took effect.
     return Fence(upstream, task->token);
   }
   const std::int64_t until = GrantLease(upstream);
@@ -114,7 +115,7 @@
   if (reply.status == OrderStatus::kUnknown) {
     m_order_timed_out_at = m_now;
     if (task->send_attempts < kMaxSendAttempts && token == upstream.token) {
-      // Sent by the next tick: this process may have stood still before it handled the answer.
+      // Sent by the next tick: this process may have been paused before it handled the reply.
       m_postponed_starts.emplace_back(key, run);
       return;
     }
@@ -125,7 +126,7 @@
                                         {"upstream", task->upstream.value()},
                                         {"reason", std::string(ToString(reply.status))},
                                         {"attempt", std::to_string(task->send_attempts)}});
-  // A refusal of a repeated start does not tell what became of the first one.
+  // A refusal of a repeated start does not show whether the first one took effect.
   if (task->send_attempts > 1 || reply.status == OrderStatus::kFenced) return Fence(upstream, task->token);
   if (reply.status == OrderStatus::kBadTicket) StepOf(job, key).tickets.erase(task->upstream);
   if (reply.status == OrderStatus::kUnhealthy || reply.status == OrderStatus::kNotSent) {
@@ -138,7 +139,7 @@
 
 void Scheduler::MarkStarted(Job& job) {
   if (job.has_started) return;
-  // Not written: a new leader knows it from the numbers of the runs.
+  // Not recorded: a new leader derives it from the run numbers.
   job.has_started = true;
   if (job.state == JobState::kPending) job.state = JobState::kRunning;
   if (job.committed_state == JobState::kPending && job.committed_change > 0) job.committed_state = JobState::kRunning;
@@ -154,7 +155,7 @@
 }
 
 void Scheduler::Fence(UpstreamState& upstream, std::uint64_t order_token) {
-  // Orders with a lower token do nothing once a sync with the new one is answered.
+  // Orders with a lower fencing token have no effect once the upstream has replied to a sync with the new one.
   if (order_token == upstream.token) upstream.token = (m_epoch << 20U) + ++m_token_counter;
   if (upstream.sync_token == upstream.token) return;
   upstream.next_sync = m_now;
@@ -189,7 +190,7 @@
   m_ports.upstreams.Stop(order, [this, key, run](const OrderReply& reply) {
     TaskState* task = FindTask(key);
     if (task == nullptr || task->run != run || task->phase != TaskPhase::kStopping) return;
-    // From now on a list without the run means that it is over or never begins.
+    // From now on a sync reply without the run means that it has ended or will not begin.
     if (reply.status == OrderStatus::kAccepted && task->confirmed_at == Time::max()) task->confirmed_at = m_now;
   });
 }
--- a/src/cell/scheduler_placement.cc
+++ b/src/cell/scheduler_placement.cc
@@ -15,27 +15,27 @@
 namespace {
 
 constexpr Duration kIdlePlacementInterval{100'000};
-/// A ticket must outlast the commit of the assignment and the way to the upstream.
+/// A ticket must stay valid during the commit of the assignment and the transfer to the upstream.
 constexpr Duration kTicketMargin{150'000};
-/// Share of upstreams that the policy is expected to allow before anything is known of a queue.
+/// Share of upstreams that the policy is expected to allow before the first reply for a queue.
 constexpr double kInitialAllowedShare = 0.4;
-constexpr double kAllowedShareWeight = 0.1;  ///< of the newest answer in the running mean
-/// Upstreams are named for this multiple of the room that a step needs, as other steps take room meanwhile.
+constexpr double kAllowedShareWeight = 0.1;  ///< weight of the newest reply in the running mean
+/// Tickets are requested for this multiple of the capacity that a step needs, as other steps use capacity meanwhile.
 constexpr double kRequestedCapacityFactor = 1.5;
 constexpr double kRequestedCapacityFactorGang = 2.0;
 constexpr std::size_t kMinRequestedUpstreams = 8;
-constexpr std::size_t kMaxRequestedUpstreams = 100;  ///< bound of the policy service
-/// Pause after an answer before the same step is asked for again.
+constexpr std::size_t kMaxRequestedUpstreams = 100;  ///< limit of the policy service
+/// Delay after a reply before the next request for the same step.
 constexpr Duration kPolicyRequestInterval{120'000};
-/// Gangs for which room is kept in one pass.
+/// Gangs for which capacity is reserved in one pass.
 constexpr int kMaxReservingGangs = 2;
-/// Short work passes a reservation until the gang has waited this long.
+/// Capacity is reserved for a gang after it has waited this long.
 constexpr Duration kReservationDelay{1'500'000};
 
-/// A gang that is slow on several racks waits this long for room on one.
+/// A gang that is slow across racks waits this long for free capacity on one rack.
 constexpr Duration kMaxRackWait{1'500'000};
 
-/// Keeps the upstreams of the rack with the least room that is enough.
+/// Keeps only the upstreams of the rack with the least sufficient free capacity.
 /// @return whether there is such a rack; otherwise nothing is changed
 bool KeepOneRack(std::vector<std::pair<std::int64_t, UpstreamState*>>& slots, std::int64_t needed) {
   std::map<std::string, std::int64_t> free_capacity;
@@ -178,7 +178,7 @@
   }
   if (total < spec.task_count) return false;
   if (spec.same_rack && !KeepOneRack(slots, spec.task_count) && m_now - ref.job->accepted < kMaxRackWait) return false;
-  // The fullest upstreams first, so that wide room elsewhere stays whole.
+  // Best fit: the fullest upstreams first, which avoids fragmentation of the others.
   std::stable_sort(slots.begin(), slots.end(), [](const auto& a, const auto& b) {
     return a.second->FreeCapacity().cpu_millis < b.second->FreeCapacity().cpu_millis;
   });
@@ -246,7 +246,8 @@
   if (!m_policy_calls.CanCall(static_cast<std::int64_t>(terms.call_ms), m_now)) return;
   const double share = m_allowed_share.try_emplace(queue.id, kInitialAllowedShare).first->second;
   double ticketed_slots = 0;
-  std::vector<std::tuple<bool, std::int64_t, double, UpstreamState*>> unticketed;  // has no room, free, expected slots
+  std::vector<std::tuple<bool, std::int64_t, double, UpstreamState*>>
+      unticketed;  // is full, negated free CPU, expected slots
   for (auto& [id, upstream] : m_upstreams) {
     if (!CanRunOn(spec, queue, upstream)) continue;
     const auto verdict = step.policy_decisions.find(id);
@@ -268,7 +269,7 @@
   });
   const double factor = spec.is_gang ? kRequestedCapacityFactorGang : kRequestedCapacityFactor;
   const double needed = static_cast<double>(step.waiting) * factor - ticketed_slots;
-  // Valid tickets cover the need; room frees before new ones would help.
+  // Valid tickets are sufficient; capacity becomes free before new tickets would help.
   if (needed <= 0) return;
   if (std::get<0>(unticketed.front()) && !step.tickets.empty()) return;
   PolicyRequest request;
@@ -311,8 +312,9 @@
     step.tickets[id] = Ticket{ticket, m_now + std::chrono::milliseconds(valid_ms), upstream->incarnation};
   }
   double& share = m_allowed_share[queue->id];
-  const double seen = static_cast<double>(policy_reply.tickets.size()) / static_cast<double>(requested.size());
-  share += (seen - share) * kAllowedShareWeight;
+  const double observed_share =
+      static_cast<double>(policy_reply.tickets.size()) / static_cast<double>(requested.size());
+  share += (observed_share - share) * kAllowedShareWeight;
 }
 
 }  // namespace jaymast
--- a/src/cell/scheduler_upstreams.cc
+++ b/src/cell/scheduler_upstreams.cc
@@ -9,24 +9,24 @@
 namespace jaymast {
 namespace {
 
-/// An upstream answers a sync at an end, or after this time.
+/// An upstream replies to a sync when a run ends, or after this time.
 constexpr std::int64_t kSyncWaitMs = 1000;
-/// While answers are lost, a lost one holds up the ends of its upstream for a shorter time.
+/// Used while replies are lost, as a lost reply delays the ends of its upstream.
 constexpr std::int64_t kSyncWaitLossyMs = 250;
 constexpr Duration kLossyPeriod{4'000'000};
-/// An upstream can't have been started again and finished a run within this time after an answer.
+/// An upstream can't restart and finish a run within this time after a reply.
 constexpr Duration kSameIncarnationBound{150'000};
 constexpr int kUnreachableAfterFailedSyncs = 2;
-/// While ends wait to be stored a sync is answered at once, so it is repeated only to extend leases.
+/// While ends are not committed, a sync gets an immediate reply, so it is repeated only to extend leases.
 constexpr Duration kUnstoredSyncInterval{300'000};
-/// Pause after a sync without an answer; grows with each failure up to the maximum.
+/// Delay after a failed sync; grows with each failure up to the maximum.
 constexpr Duration kFailedSyncDelay{100'000};
 constexpr Duration kMaxFailedSyncDelay{500'000};
-/// An upstream is not given work after this time without an answer beyond the wait.
+/// An upstream gets no tasks after this time without a reply; above the wait of a sync.
 constexpr Duration kUnreachableAfter{1'600'000};
-/// A run whose progress does not change for this time hangs.
+/// A run whose reported progress does not change for this time counts as stalled.
 constexpr Duration kStalledRunTimeout{2'500'000};
-/// An upstream where runs of several jobs fail or hang gets no work for this time.
+/// An upstream where runs of several jobs fail, or a run stalls, gets no tasks for this time.
 constexpr Duration kQuarantine{4'000'000};
 constexpr int kQuarantineAfterFailures = 2;
 
@@ -111,10 +111,10 @@
   const bool has_unstored_ends = !upstream.ends.empty();
   SyncOrder order;
   order.target = {id, upstream.listing.address, upstream.token};
-  // After a pause the upstream may be a new life, whose ends have the same numbers and are not known yet.
+  // After a gap the upstream may be a new incarnation, whose ends have the same numbers and are not known yet.
   const bool is_same_incarnation = upstream.failed_syncs == 0 && m_now - upstream.last_reply_at < kSameIncarnationBound;
   order.acknowledged_end = is_same_incarnation ? upstream.acknowledged_end : 0;
-  // An upstream that does not answer gets no further lease, so that its work is surely over at some time.
+  // An upstream that does not reply gets no further lease, so that its tasks end at a known time.
   const bool extends_lease = upstream.is_adopted && upstream.clock_ms > 0 && upstream.failed_syncs == 0;
   order.lease_until_ms = extends_lease ? GrantLease(upstream) : 0;
   const bool acknowledges_later = order.acknowledged_end != upstream.acknowledged_end;
@@ -160,7 +160,7 @@
     m_ports.events.Emit("upstream.restarted", {{"upstream", id.value()}});
     upstream.ends.clear();
     upstream.acknowledged_end = 0;
-    // An order for the earlier life may still arrive, so its room is free only after a fence.
+    // An order for the earlier incarnation may still arrive, so its capacity is free only after a fence.
     Fence(upstream, upstream.token);
     upstream.is_adopted = false;
     return;
@@ -170,17 +170,17 @@
     return;
   }
   upstream.is_adopted = true;
-  std::set<TaskKey> seen;
+  std::set<TaskKey> reported;
   for (const EndedRun& row : reply.ended) {
-    seen.insert(row.task);
+    reported.insert(row.task);
     if (row.number <= upstream.acknowledged_end || upstream.ends.contains(row.number)) continue;
     OnEndedRun(upstream, row);
   }
   for (const ActiveRun& row : reply.running) {
-    seen.insert(row.task);
+    reported.insert(row.task);
     OnActiveRun(upstream, row);
   }
-  if (!reply.has_more_ends) MarkUnlistedTasksLost(upstream, seen);
+  if (!reply.has_more_ends) MarkUnlistedTasksLost(upstream, reported);
   CheckProgress(upstream);
   AcknowledgeEnds(upstream);
   upstream.next_sync = upstream.ends.empty() ? m_now : m_now + kUnstoredSyncInterval;
@@ -304,12 +304,12 @@
   if (is_advanced && upstream.ends.empty()) upstream.next_sync = std::min(upstream.next_sync, m_now);
 }
 
-void Scheduler::MarkUnlistedTasksLost(UpstreamState& upstream, const std::set<TaskKey>& seen) {
+void Scheduler::MarkUnlistedTasksLost(UpstreamState& upstream, const std::set<TaskKey>& reported) {
   std::vector<TaskKey> lost;
   for (const TaskKey& key : upstream.tasks) {
     const TaskState* task = FindTask(key);
-    if (task == nullptr || seen.contains(key) || task->phase == TaskPhase::kAssigned) continue;
-    // The list is complete for what was acknowledged before it was asked for, and for what the fence keeps out.
+    if (task == nullptr || reported.contains(key) || task->phase == TaskPhase::kAssigned) continue;
+    // The reply covers all starts acknowledged before the sync was sent, and all starts that the fence excludes.
     const bool is_fenced = task->token < upstream.sync_token;
     const bool is_older = task->confirmed_at < upstream.sync_sent_at;
     if (is_fenced || is_older) lost.push_back(key);
@@ -352,7 +352,7 @@
       const bool is_complete = std::all_of(step.tasks.begin(), step.tasks.end(),
                                            [](const TaskState& member) { return member.phase == TaskPhase::kRunning; });
       if (!is_complete) continue;
-      // Which member hangs is not known.
+      // It is unknown which member is stalled.
       AbortGang(job, key, "gang makes no progress");
       continue;
     }
--- a/src/cell/state_store.h
+++ b/src/cell/state_store.h
@@ -8,7 +8,7 @@
 
 namespace jaymast {
 
-/// A row of the cell's partition. Versions come from one counter that rises with each transaction.
+/// A row of the cell's partition. Versions come from one counter that each transaction increments.
 struct StateRow {
   std::string table;
   std::string key;
@@ -16,14 +16,14 @@
   std::int64_t version = 0;
 };
 
-/// Puts a value, or deletes the row when the value is absent.
+/// Writes a value, or deletes the row if the value is absent.
 struct StateWrite {
   std::string table;
   std::string key;
   std::optional<std::string> value;
 };
 
-/// Writes that take effect together if the guard row has the given version; version 0 means that it is absent.
+/// Writes that take effect atomically if the guard row has the given version; version 0 means that it is absent.
 struct StateTransaction {
   std::string guard_table;
   std::string guard_key;
@@ -34,7 +34,7 @@
 enum class StateStatus {
   kDone,
   kConflict,  ///< the guard row has another version; nothing was written
-  kRefused,   ///< certainly nothing was written
+  kRefused,   ///< nothing was written
   kUnknown,   ///< may have been written, or may be written later while its condition holds
 };
 
@@ -53,14 +53,14 @@
   std::int64_t now_ms = 0;
 };
 
-/// Durable rows of the cell. Callbacks are never called from inside the call that registered them.
+/// Stores the rows of the cell durably. Callbacks are never called from inside the call that registered them.
 class StateStore {
  public:
   virtual ~StateStore() = default;
 
   virtual void Commit(const StateTransaction& transaction, std::function<void(StateCommitReply)> done) = 0;
 
-  /// Rows with keys of at least `from` and, unless it is empty, below `to`.
+  /// Reads a page of the rows with keys of at least `from` and, unless it is empty, below `to`.
   virtual void Scan(const std::string& table, const std::string& from, const std::string& to,
                     std::function<void(StateScanReply)> done) = 0;
 };
--- a/src/cell/upstream_client.h
+++ b/src/cell/upstream_client.h
@@ -14,11 +14,11 @@
 
 namespace jaymast {
 
-/// Common part of all orders to an upstream.
+/// Address and fencing token of an order.
 struct UpstreamTarget {
   UpstreamId id;
   std::string address;
-  std::uint64_t fencing_token = 0;  ///< the upstream ignores orders with a lower token than the highest it has seen
+  std::uint64_t fencing_token = 0;  ///< the upstream refuses orders with a token below the highest it has seen
 };
 
 struct StartOrder {
@@ -39,21 +39,21 @@
 
 struct SyncOrder {
   UpstreamTarget target;
-  std::int64_t acknowledged_end = 0;  ///< ends up to this number are in the store
-  std::int64_t lease_until_ms = 0;    ///< on the clock of the upstream; 0 extends nothing
-  std::int64_t wait_ms = 0;           ///< the upstream may wait this long for an end
+  std::int64_t acknowledged_end = 0;  ///< ends up to this number are committed to the store
+  std::int64_t lease_until_ms = 0;    ///< on the clock of the upstream; 0 does not extend the leases
+  std::int64_t wait_ms = 0;           ///< the upstream may delay the reply this long until a run ends
 };
 
 enum class OrderStatus {
   kAccepted,
   kFenced,            ///< the upstream has seen a higher token
-  kStaleRun,          ///< a run with this number or a higher one was there before
-  kExpiredOnArrival,  ///< the lease was over on arrival
+  kStaleRun,          ///< the upstream has seen a run with this number or a higher one
+  kExpiredOnArrival,  ///< the lease had expired on arrival
   kNoCapacity,
   kBadTicket,
   kMalformed,
-  kUnhealthy,         ///< nothing was done
-  kOtherIncarnation,  ///< another upstream answers at this address
+  kUnhealthy,         ///< the upstream is unhealthy; nothing was done
+  kOtherIncarnation,  ///< another upstream replies at this address
   kNotSent,           ///< certainly not received
   kUnknown,           ///< may have been received, or may be received later
 };
@@ -67,16 +67,16 @@
 
 struct OrderReply {
   OrderStatus status = OrderStatus::kUnknown;
-  std::int64_t clock_ms = 0;  ///< clock of the upstream, 0 when not told
+  std::int64_t clock_ms = 0;  ///< clock of the upstream, 0 if not reported
 };
 
-/// A task that runs on an upstream.
+/// A run that is active on an upstream.
 struct ActiveRun {
   TaskKey task;
   std::int32_t run = 0;
   std::string checkpoint;
   std::int32_t percent = 0;
-  std::int64_t load = 0;  ///< tail latency in ms of a serving task, processor use of any other
+  std::int64_t load = 0;  ///< tail latency in ms of a serving task, CPU usage of any other
 };
 
 enum class EndKind { kDone, kFailed, kStopped, kLeaseExpired, kBroken, kAlone };
@@ -104,13 +104,13 @@
   bool has_more_ends = false;
 };
 
-/// Orders to upstreams. Callbacks are called once, and never from inside the call that registered them.
+/// Sends orders to upstreams. Callbacks are called once, and never from inside the call that registered them.
 class UpstreamClient {
  public:
   virtual ~UpstreamClient() = default;
   virtual void Start(const StartOrder& order, std::function<void(OrderReply)> done) = 0;
   virtual void Stop(const StopOrder& order, std::function<void(OrderReply)> done) = 0;
-  /// Extends the leases and reads what runs and what has ended.
+  /// Extends the leases and reads the active and ended runs.
   virtual void Sync(const SyncOrder& order, std::function<void(SyncReply)> done) = 0;
 };
 
--- a/src/cell/upstream_state.h
+++ b/src/cell/upstream_state.h
@@ -12,23 +12,23 @@
 
 namespace jaymast {
 
-/// What the leader knows of one upstream.
+/// State of one upstream as known to the leader.
 struct UpstreamState {
   UpstreamListing listing;
   bool is_listed = false;
-  bool is_adopted = false;  ///< answered a sync under the token of this epoch
-  Resources allocated;      ///< room held by assigned tasks
+  bool is_adopted = false;  ///< has replied to a sync with a fencing token of this epoch
+  Resources allocated;      ///< capacity held by assigned tasks
   std::vector<TaskKey> tasks;
-  std::int64_t incarnation = 0;  ///< life whose lists were seen last
+  std::int64_t incarnation = 0;  ///< of the last sync reply
 
-  // Fence.
+  // Fencing token for the next order.
   std::uint64_t token = 0;
 
-  // Clock of the upstream, as told with the last answer.
+  // Clock of the upstream as of the last reply.
   std::int64_t clock_ms = 0;
   Time clock_at{};
 
-  /// When everything that was started here has surely lapsed, unless a lease is extended.
+  /// When the leases of all runs started here have expired, unless they are extended.
   Time leases_expire_at{};
 
   /// When a stop has to be sent again; not later than the first one due.
@@ -43,11 +43,11 @@
   Time last_reply_at{};
   int failed_syncs = 0;
 
-  // Ends: the number of each end seen, and whether it is in the store.
+  // Reported ends by number, and whether each is committed to the store.
   std::map<std::int64_t, bool> ends;
   std::int64_t acknowledged_end = 0;
 
-  // Health, judged by what becomes of work.
+  // Health, derived from the results of runs.
   int consecutive_failures = 0;
   std::string last_failed_job;
   Time quarantined_until{};
--- a/src/cell_testing/cell_checks.h
+++ b/src/cell_testing/cell_checks.h
@@ -14,7 +14,7 @@
 inline constexpr int kUnknownKey = static_cast<int>(ClientOutcome::kUnknownKey);
 inline constexpr int kNoSuchJob = static_cast<int>(ClientOutcome::kNoSuchJob);
 
-/// State of a job as an instance shows it.
+/// State of a job as reported by an instance.
 inline std::string GetJobState(SimulatedCluster& cluster, int index, const std::string& job) {
   cluster.Call(index, "GET", job);
   cluster.Run(std::chrono::milliseconds(300));
--- a/src/cell_testing/event_queue.h
+++ b/src/cell_testing/event_queue.h
@@ -9,7 +9,7 @@
 
 namespace jaymast {
 
-/// Fake clock: calls functions at their times, in order.
+/// Simulated clock that calls functions at their times, in order.
 class EventQueue {
  public:
   Time now() const { return m_now; }
--- a/src/cell_testing/fake_store.h
+++ b/src/cell_testing/fake_store.h
@@ -13,7 +13,7 @@
 
 namespace jaymast {
 
-/// Rows of the fake platform, shared by all instances of a test.
+/// Rows of the simulated platform store, shared by all instances of a test.
 class FakeStore {
  public:
   explicit FakeStore(EventQueue& queue) : m_queue(queue) {}
@@ -60,11 +60,11 @@
     return reply;
   }
 
-  /// Rows in a page; small, so that tests read several pages.
+  /// Rows of a page; small, so that tests read several pages.
   static constexpr std::size_t kPageRows = 20;
 
   int transactions = 0;
-  int writes = 0;  ///< rows written or deleted, but for the leader row
+  int writes = 0;  ///< rows written or deleted, except the leader row
 
  private:
   EventQueue& m_queue;
@@ -72,10 +72,10 @@
   std::map<std::pair<std::string, std::string>, StateRow> m_rows;
 };
 
-/// What is wrong with the store, as one instance sees it.
+/// Fault of the store as seen by one instance.
 enum class StoreFault { kNone, kNoReply, kRefusing, kReplyLost, kAppliedLate, kSlow };
 
-/// The way of one instance to the store.
+/// Accesses the store for one instance, with latency and faults.
 class FakeStoreClient : public StateStore {
  public:
   FakeStoreClient(EventQueue& queue, FakeStore& store) : m_queue(queue), m_store(store) {}
--- a/src/cell_testing/fake_upstream.h
+++ b/src/cell_testing/fake_upstream.h
@@ -16,9 +16,9 @@
 
 namespace jaymast {
 
-/// What all upstreams of a test saw, and which guarantees were broken.
+/// Runs on all upstreams of a test, and violations of the guarantees.
 struct RunHistory {
-  std::map<TaskKey, int> running;  ///< runs at this moment
+  std::map<TaskKey, int> running;  ///< number of active runs
   std::map<TaskKey, int> starts;
   std::map<TaskKey, int> done;
   std::set<TaskKey> acknowledged_done;
@@ -26,7 +26,7 @@
   std::vector<std::string> violations;
 };
 
-/// A task's behaviour, by its payload: "ms=<run time>", and "fails" or "hangs".
+/// Behaviour of a task, given by its payload: "ms=<run time>", and "fails" or "hangs".
 struct FakeWork {
   Duration run_time{500'000};
   Resources demand;
@@ -35,7 +35,7 @@
   bool hangs = false;
 };
 
-/// One runner: keeps leases, fences and ends as the platform's runners do.
+/// Simulates one runner, with the lease, fencing and end reports of the platform's runners.
 class FakeUpstream {
  public:
   FakeUpstream(EventQueue& queue, RunHistory& history, UpstreamListing listing)
@@ -80,7 +80,7 @@
     return {OrderStatus::kAccepted, ClockMs()};
   }
 
-  /// Answers now, or calls `done` at the next end or after the wait.
+  /// Replies at once, or at the next end or after the wait if there is nothing to report.
   void Sync(const SyncOrder& order, const std::function<void(SyncReply)>& done) {
     Advance();
     if (order.target.fencing_token < m_fencing_token) {
@@ -102,7 +102,7 @@
     m_queue.After(std::chrono::milliseconds(order.wait_ms), [this, number] { ReplyToWaiting(number); });
   }
 
-  /// The process dies and comes back knowing nothing.
+  /// Restarts the process without its state.
   void Restart() {
     for (const auto& [key, run] : m_running) --m_history.running[key];
     m_running.clear();
@@ -117,7 +117,7 @@
     m_lease_until_ms = 0;
   }
 
-  /// Applies what has happened until now.
+  /// Applies the lease expiry and the ends of runs up to now.
   void Advance() {
     if (ClockMs() >= m_lease_until_ms) {
       for (const EndedRun& end : m_ends) m_ends_before_lease_expiry.insert(end.number);
--- a/src/cell_testing/simulated_cluster.h
+++ b/src/cell_testing/simulated_cluster.h
@@ -20,7 +20,8 @@
 
 namespace jaymast {
 
-/// Reads and writes the messages of the fake clients: "<job> <tasks> <cpu> <payload words>" in the body.
+/// Decodes and encodes the messages of fake clients. The body is the payload and holds words such as "tasks=4
+/// cpu=1000".
 class FakeClientCodec : public ClientCodec {
  public:
   ClientCall Decode(const HttpRequest& request) const override {
@@ -71,7 +72,7 @@
   static constexpr int kNotRun = 503;
 };
 
-/// Prints events with fake time when JAYMAST_TEST_EVENTS is set, to trace a failed schedule.
+/// Prints events with simulated time if JAYMAST_TEST_EVENTS is set, to trace a failed fault schedule.
 class TraceEvents : public CellEventSink {
  public:
   explicit TraceEvents(const EventQueue& queue) : m_queue(queue) {}
@@ -87,7 +88,7 @@
   const bool m_is_enabled = std::getenv("JAYMAST_TEST_EVENTS") != nullptr;
 };
 
-/// Several instances with a store, upstreams and a policy service, all fake and on one fake clock.
+/// Runs several instances with a fake store, fake upstreams and a fake policy service on one simulated clock.
 class SimulatedCluster {
  public:
   static constexpr Duration kTick{10'000};
@@ -104,7 +105,7 @@
     FakeClientCodec codec;
     bool is_up = true;
     bool is_paused = false;
-    std::set<std::string> partitioned_from;  ///< peers and upstreams that can't be reached
+    std::set<std::string> partitioned_from;  ///< addresses of unreachable peers and upstreams
     std::uint64_t process_incarnation = 0;
   };
 
@@ -163,7 +164,7 @@
     return -1;
   }
 
-  /// Sends a call of a client to an instance. The status appears in `answers`.
+  /// Sends a client call to an instance. The response is added to `responses`.
   void Call(int index, const std::string& method, const std::string& job, const std::string& body = "",
             const std::string& key = "key", std::int64_t client_timeout_ms = 0) {
     HttpRequest request;
@@ -203,9 +204,9 @@
   std::vector<std::unique_ptr<FakeUpstream>> fake_upstreams;
   std::vector<std::unique_ptr<Instance>> instances;
   std::map<std::string, std::vector<HttpResponse>> responses;
-  std::function<bool(const StartOrder&)> drops_start;        ///< the order does not arrive
-  std::function<bool(const StartOrder&)> drops_start_reply;  ///< the order is carried out without an answer
-  std::function<Duration(const StartOrder&)> start_delay;    ///< an order without an answer arrives late
+  std::function<bool(const StartOrder&)> drops_start;        ///< the order is lost
+  std::function<bool(const StartOrder&)> drops_start_reply;  ///< the order is executed, but the reply is lost
+  std::function<Duration(const StartOrder&)> start_delay;    ///< the order arrives late and gets no reply
   std::function<OrderStatus(const StartOrder&)> start_status;
   int policy_calls = 0;
 
@@ -219,7 +220,7 @@
       const bool is_lost = upstream == nullptr || (m_cluster.drops_start && m_cluster.drops_start(order));
       const auto late = m_cluster.start_delay ? m_cluster.start_delay(order) : Duration::zero();
       if (late > Duration::zero() && upstream != nullptr) {
-        // Orders that wait inside an upstream are lost with its process.
+        // Orders queued in an upstream are lost with its process.
         m_cluster.queue.After(late, [upstream, order, process_incarnation = upstream->listing().incarnation] {
           if (upstream->listing().incarnation == process_incarnation) upstream->Start(order, ParseWork(order));
         });
@@ -297,7 +298,7 @@
   class FakePolicyClient : public PolicyClient {
    public:
     explicit FakePolicyClient(SimulatedCluster& cluster) : m_cluster(cluster) {}
-    void RequestTickets(const std::string& /*agent*/, const PolicyRequest& question,
+    void RequestTickets(const std::string& /*caller*/, const PolicyRequest& question,
                         std::function<void(PolicyReply)> done) override {
       ++m_cluster.policy_calls;
       PolicyReply policy_reply;
@@ -343,7 +344,7 @@
     queue.After(delay, [this, &instance, process_incarnation = instance.process_incarnation,
                         action = std::move(action)]() mutable {
       if (instance.process_incarnation != process_incarnation) return;
-      // A frozen process handles what came in meanwhile when it wakes.
+      // A paused process handles received messages when it resumes.
       if (instance.is_paused) return RunLaterOn(instance, kTick, std::move(action));
       action();
     });
@@ -403,7 +404,7 @@
   }
 
   TraceEvents m_events{queue};
-  std::vector<std::unique_ptr<CellInstance>> m_stopped_cells;  ///< callbacks on their way refer to them
+  std::vector<std::unique_ptr<CellInstance>> m_stopped_cells;  ///< pending callbacks refer to them
 };
 
 }  // namespace jaymast
