--- a/src/cell/scheduler.h
+++ b/src/cell/scheduler.h
@@ -151,6 +151,8 @@
   void StopUnconfirmedMembers(Job& job, const TaskKey& key);
   /// Invalidates all orders up to a fencing token, so that the next sync shows which of them took effect.
   void Fence(UpstreamState& upstream, std::uint64_t order_token);
+  /// Extends the leases of an upstream.
+  /// @return end of the leases in ms on the clock of the upstream, 0 if no lease may be granted
   std::int64_t GrantLease(UpstreamState& upstream);
 
   // scheduler_upstreams.cc
@@ -180,7 +182,8 @@
   std::int64_t CountSlots(const StepRef& ref, const UpstreamState& upstream, const Resources& free_capacity) const;
   void ReserveUpstreams(const StepRef& ref, const std::vector<UpstreamState*>& candidates);
   void RequestTickets(const StepRef& ref, const QueueConfig& queue);
-  void OnPolicyReply(const TaskKey& step_key, const std::vector<UpstreamId>& named, const PolicyReply& policy_reply);
+  void OnPolicyReply(const TaskKey& step_key, const std::vector<UpstreamId>& requested,
+                     const PolicyReply& policy_reply);
   Resources TeamFreeCapacity(const TeamId& team) const;
 
   Ports m_ports;
@@ -210,9 +213,8 @@
   std::uint64_t m_token_counter = 0;
   bool m_is_retired = false;
   bool m_needs_placement = true;
-  std::vector<std::pair<TaskKey, std::int32_t>>
-      m_postponed_starts;       ///< starts that wait until the leadership is confirmed
-  Time m_order_timed_out_at{};  ///< when an order or sync last got no reply
+  std::vector<std::pair<TaskKey, std::int32_t>> m_postponed_starts;  ///< until the leadership is confirmed
+  Time m_order_timed_out_at{};                                       ///< when an order or sync last got no reply
   Time m_next_placement{};
 };
 
--- a/src/cell_testing/simulated_cluster.h
+++ b/src/cell_testing/simulated_cluster.h
@@ -20,8 +20,7 @@
 
 namespace jaymast {
 
-/// Decodes and encodes the messages of fake clients. The body is the payload and holds words such as "tasks=4
-/// cpu=1000".
+/// Decodes and encodes the messages of fake clients. The body is the payload, with words such as tasks=4.
 class FakeClientCodec : public ClientCodec {
  public:
   ClientCall Decode(const HttpRequest& request) const override {
