--- a/src/cell/upstream_state.h
+++ b/src/cell/upstream_state.h
@@ -12,24 +12,24 @@
 
 namespace jaymast {
 
-/// What the leader knows of one upstream.
+/// State of one upstream as known to the leader.
 struct UpstreamState {
   UpstreamListing listing;
   bool is_listed = false;
-  bool is_adopted = false;  ///< answered a sync under the token of this epoch
-  Resources used;           ///< room held by assigned tasks
+  bool is_adopted = false;  ///< has replied to a sync with a fencing token of this epoch
+  Resources allocated;      ///< capacity held by assigned tasks
   std::vector<TaskKey> tasks;
-  std::int64_t incarnation = 0;  ///< life whose lists were seen last
+  std::int64_t incarnation = 0;  ///< of the last sync reply
 
-  // Fence.
+  // Fencing token for the next order.
   std::uint64_t token = 0;
 
-  // Clock of the upstream, as told with the last answer.
+  // Clock of the upstream as of the last reply.
   std::int64_t clock_ms = 0;
   Time clock_at{};
 
-  /// When everything that was started here has surely lapsed, unless a lease is extended.
-  Time lapse_at{};
+  /// When the leases of all runs started here have expired, unless they are extended.
+  Time leases_expire_at{};
 
   /// When a stop has to be sent again; not later than the first one due.
   Time next_stop = Time::max();
@@ -40,21 +40,21 @@
   Time sync_sent_at{};
   std::uint64_t sync_token = 0;
   Time next_sync{};
-  Time answered_at{};
+  Time last_reply_at{};
   int failed_syncs = 0;
 
-  // Ends: the number of each end seen, and whether it is in the store.
+  // Reported ends by number, and whether each is committed to the store.
   std::map<std::int64_t, bool> ends;
   std::int64_t acknowledged_end = 0;
 
-  // Health, judged by what becomes of work.
+  // Health, derived from the results of runs.
   int consecutive_failures = 0;
   std::string last_failed_job;
   Time quarantined_until{};
 
-  Resources Free() const { return listing.capacity - used; }
+  Resources FreeCapacity() const { return listing.capacity - allocated; }
 
-  std::int64_t ClockAt(Time now) const { return clock_ms + ToMillis(now - clock_at); }
+  std::int64_t ClockMsAt(Time now) const { return clock_ms + ToMillis(now - clock_at); }
 
   bool HasLabel(const std::string& label) const {
     return std::find(listing.labels.begin(), listing.labels.end(), label) != listing.labels.end();
