--- a/src/cell_testing/fake_store.h
+++ b/src/cell_testing/fake_store.h
@@ -13,7 +13,7 @@
 
 namespace jaymast {
 
-/// Rows of the fake platform, shared by all instances of a test.
+/// Rows of the simulated platform store, shared by all instances of a test.
 class FakeStore {
  public:
   explicit FakeStore(EventQueue& queue) : m_queue(queue) {}
@@ -60,11 +60,11 @@
     return reply;
   }
 
-  /// Rows in a page; small, so that tests read several pages.
+  /// Rows of a page; small, so that tests read several pages.
   static constexpr std::size_t kPageRows = 20;
 
   int transactions = 0;
-  int writes = 0;  ///< rows written or deleted, but for the leader row
+  int writes = 0;  ///< rows written or deleted, except the leader row
 
  private:
   EventQueue& m_queue;
@@ -72,10 +72,10 @@
   std::map<std::pair<std::string, std::string>, StateRow> m_rows;
 };
 
-/// What is wrong with the store, as one instance sees it.
+/// Fault of the store as seen by one instance.
 enum class StoreFault { kNone, kNoReply, kRefusing, kReplyLost, kAppliedLate, kSlow };
 
-/// The way of one instance to the store.
+/// Accesses the store for one instance, with latency and faults.
 class FakeStoreClient : public StateStore {
  public:
   FakeStoreClient(EventQueue& queue, FakeStore& store) : m_queue(queue), m_store(store) {}
@@ -93,7 +93,7 @@
         m_queue.After(kLatency, [this, transaction] { m_store.Apply(transaction); });
         return m_queue.After(kTimeout, [done] { done({}); });
       case StoreFault::kAppliedLate:
-        m_queue.After(kLateBy, [this, transaction] { m_store.Apply(transaction); });
+        m_queue.After(kLateDelay, [this, transaction] { m_store.Apply(transaction); });
         return m_queue.After(kTimeout, [done] { done({}); });
       case StoreFault::kSlow:
       case StoreFault::kNone:
@@ -117,7 +117,7 @@
   static constexpr Duration kLatency{5'000};
   static constexpr Duration kSlowLatency{400'000};
   static constexpr Duration kTimeout{900'000};
-  static constexpr Duration kLateBy{2'500'000};
+  static constexpr Duration kLateDelay{2'500'000};
 
   EventQueue& m_queue;
   FakeStore& m_store;
--- a/src/instance/cell_term.h
+++ b/src/instance/cell_term.h
@@ -16,24 +16,25 @@
 
 namespace jaymast {
 
-/// One period during which this instance is the leader: loads the recorded jobs, then schedules.
+/// Runs the scheduler for one term as leader, after loading the recorded jobs from the store.
 class CellTerm : public FeedListener {
  public:
   using MakeFeeds = std::function<std::unique_ptr<CellFeeds>(FeedListener&)>;
 
+  /// @param deposed called when another instance has taken over
   CellTerm(StateStore& store, Scheduler::Ports ports, const LeaderRecord& record, std::int64_t version, Time now,
            const MakeFeeds& make_feeds, std::function<void()> request_tick, const std::function<void()>& deposed);
 
   void OnTick(Time now, std::int64_t unix_now_ms);
   void OnClientCall(const ClientCall& call, const ClientReplyFunction& reply);
   void SetPolicyCallers(const std::vector<std::string>& addresses) { m_scheduler.SetPolicyCallers(addresses); }
-  /// Ends the term after everything accepted so far is in the store.
-  void HandOver(const std::string& successor) { m_journal.HandOver(successor); }
+  /// Ends the term once everything accepted so far is committed.
+  void HandOver(const std::string& successor) { m_committer.HandOver(successor); }
 
-  /// Ignores everything that is still on its way.
+  /// Ignores all replies that are still outstanding.
   void Retire() { m_scheduler.Retire(); }
 
-  const GroupCommitter& journal() const { return m_journal; }
+  const GroupCommitter& committer() const { return m_committer; }
   const Scheduler& scheduler() const { return m_scheduler; }
   bool is_loaded() const { return m_is_loaded; }
 
@@ -48,8 +49,8 @@
   void OnUpstreamListComplete(const std::set<UpstreamId>& listed) override;
 
  private:
-  /// Newest records of a job in the rows read so far.
-  struct Loaded {
+  /// Latest records of a job in the rows read so far.
+  struct LoadedJob {
     LogRecord job;
     std::string progress;
   };
@@ -57,28 +58,28 @@
   void Load();
   void OnPage(const StateScanReply& reply);
   void OnRow(const StateRow& row);
-  void AddJob(const JobId& id, const Loaded& loaded, std::int64_t store_now_ms);
+  void AddJob(const JobId& id, const LoadedJob& loaded, std::int64_t store_now_ms);
   void FinishJobs(std::int64_t store_now_ms);
   void CheckLoaded();
-  /// Tells when the store stops to answer and when it answers again.
-  void NoteStore();
+  /// Emits an event when the store stops responding and when it responds again.
+  void ReportStoreStall();
 
   StateStore& m_store;
   CellEventSink& m_events;
   const std::function<void()> m_request_tick;
   Time m_now;
   Scheduler m_scheduler;
-  GroupCommitter m_journal;
+  GroupCommitter m_committer;
   std::unique_ptr<CellFeeds> m_feeds;
-  std::map<JobId, Loaded> m_loading;
-  std::string m_load_from;
-  Time m_next_load{};
+  std::map<JobId, LoadedJob> m_loaded_jobs;
+  std::string m_next_key;
+  Time m_next_load_at{};
   bool m_is_reading = false;
   bool m_are_jobs_loaded = false;
   bool m_has_config = false;
-  bool m_has_list = false;
+  bool m_has_upstream_list = false;
   bool m_is_loaded = false;
-  bool m_is_stalled = false;
+  bool m_is_store_stalled = false;
 };
 
 }  // namespace jaymast
--- a/src/instance/peer_codec.h
+++ b/src/instance/peer_codec.h
@@ -10,27 +10,27 @@
 
 namespace jaymast {
 
-/// Shows a follower who leads and that the leader makes progress.
-struct Beat {
-  LeaderRecord record;       ///< an empty address tells that the leader has handed over
+/// Tells a follower who leads and how far the leader has committed.
+struct Heartbeat {
+  LeaderRecord record;       ///< the address is empty if the leader has handed over
   std::int64_t version = 0;  ///< of the leader row
 };
 
-std::string EncodeBeat(const Beat& beat);
-std::optional<Beat> DecodeBeat(std::string_view text);
+std::string EncodeHeartbeat(const Heartbeat& heartbeat);
+std::optional<Heartbeat> DecodeHeartbeat(std::string_view text);
 
-/// Announces a follower.
-struct Hello {
+/// Registers a follower with the leader.
+struct JoinAnnouncement {
   std::string address;          ///< peer address
-  std::int64_t cpu_millis = 0;  ///< processor share of the instance in thousandths of a core
+  std::int64_t cpu_millis = 0;  ///< CPU share of the instance in thousandths of a core
 };
 
-std::string EncodeHello(const Hello& hello);
-std::optional<Hello> DecodeHello(std::string_view text);
+std::string EncodeJoinAnnouncement(const JoinAnnouncement& announcement);
+std::optional<JoinAnnouncement> DecodeJoinAnnouncement(std::string_view text);
 
-std::string EncodeQuestion(const PolicyRequest& question);
-std::optional<PolicyRequest> DecodeQuestion(std::string_view text);
-std::string EncodeAnswer(const PolicyReply& answer);
-std::optional<PolicyReply> DecodeAnswer(std::string_view text);
+std::string EncodePolicyRequest(const PolicyRequest& policy_request);
+std::optional<PolicyRequest> DecodePolicyRequest(std::string_view text);
+std::string EncodePolicyReply(const PolicyReply& policy_reply);
+std::optional<PolicyReply> DecodePolicyReply(std::string_view text);
 
 }  // namespace jaymast
--- a/src/instance/relay_test.cc
+++ b/src/instance/relay_test.cc
@@ -16,10 +16,10 @@
 constexpr int kRefused = 503;
 constexpr int kMayHaveRun = 504;
 
-/// A relay whose attempts are answered by hand.
+/// Completes the attempts of a relay by hand.
 class RelayTest : public testing::Test {
  protected:
-  struct Sent {
+  struct SentAttempt {
     std::string address;
     std::function<void(Relay::Attempt)> done;
   };
@@ -30,89 +30,89 @@
   }
   void Tick(Duration time) {
     m_now += time;
-    m_relay.SetLeader(m_is_known, m_leader, m_epoch, m_now);
+    m_relay.SetLeader(m_is_leader_known, m_leader, m_epoch, m_now);
     m_relay.OnTick(m_now);
   }
-  static Relay::Attempt Answer(int status) { return {true, true, false, {status, {}, ""}}; }
+  static Relay::Attempt Response(int status) { return {true, true, false, {status, {}, ""}}; }
 
   Time m_now{Duration(1'000'000)};
-  bool m_is_known = true;
+  bool m_is_leader_known = true;
   std::string m_leader = "a";
   std::uint64_t m_epoch = 1;
-  std::vector<Sent> m_sent;
+  std::vector<SentAttempt> m_sent_attempts;
   std::vector<int> m_statuses;
   Relay m_relay{
       {[this](const std::string& address, const HttpRequest&, Time, std::function<void(Relay::Attempt)> done) {
-         m_sent.push_back({address, std::move(done)});
+         m_sent_attempts.push_back({address, std::move(done)});
        },
        [](const HttpRequest& /*request*/, Duration /*waited*/, bool may_have_run) {
          return HttpResponse{may_have_run ? kMayHaveRun : kRefused, {}, ""};
        }}};
 };
 
-// Guards against a client that is told "not run" by a deposed leader while its call is on the way to the new one.
-TEST_F(RelayTest, RefusalOfAnEarlierLeaderIsNotFinal) {
+// Guards against a "not run" from a deposed leader while the call is on its way to the new one.
+TEST_F(RelayTest, RefusalByEarlierLeaderIsNotFinal) {
   Tick(milliseconds(10));
   Call();
   m_leader = "b";
   m_epoch = 2;
   Tick(milliseconds(10));
-  ASSERT_EQ(m_sent.size(), 2U);
-  EXPECT_EQ(m_sent[1].address, "b");
-  m_sent[0].done(Answer(kRefused));
+  ASSERT_EQ(m_sent_attempts.size(), 2U);
+  EXPECT_EQ(m_sent_attempts[1].address, "b");
+  m_sent_attempts[0].done(Response(kRefused));
   EXPECT_TRUE(m_statuses.empty());
-  m_sent[1].done(Answer(kOk));
+  m_sent_attempts[1].done(Response(kOk));
   EXPECT_EQ(m_statuses, std::vector<int>{kOk});
 }
 
-// Guards against "not run" for a call that the leader may have received before it died.
-TEST_F(RelayTest, CallWithoutAnAnswerMayHaveRun) {
+// Guards against "not run" for a call that the leader may have received before it crashed.
+TEST_F(RelayTest, CallWithoutResponseMayHaveRun) {
   Tick(milliseconds(10));
   Call();
-  m_sent[0].done({false, true, false, {}});
-  m_is_known = false;
+  m_sent_attempts[0].done({false, true, false, {}});
+  m_is_leader_known = false;
   for (int i = 0; i < 30; ++i) Tick(milliseconds(100));
   EXPECT_EQ(m_statuses, std::vector<int>{kMayHaveRun});
 }
 
-// Guards against "not run" while an attempt at an earlier leader, which may have stored the job, has no answer yet.
-TEST_F(RelayTest, OpenAttemptAtAnEarlierLeaderMayHaveRun) {
+// Guards against "not run" while an attempt at an earlier leader, which may have stored the job, is pending.
+TEST_F(RelayTest, PendingAttemptAtEarlierLeaderMayHaveRun) {
   Tick(milliseconds(10));
   Call();
   m_leader = "";
   m_epoch = 2;
   Tick(milliseconds(800));
-  ASSERT_EQ(m_sent.size(), 2U);
-  m_sent[1].done({true, true, true, {}});
-  m_is_known = false;
+  ASSERT_EQ(m_sent_attempts.size(), 2U);
+  m_sent_attempts[1].done({true, true, true, {}});
+  m_is_leader_known = false;
   Tick(milliseconds(2100));
   EXPECT_EQ(m_statuses, std::vector<int>{kMayHaveRun});
 }
 
-// Guards against calls that wait although this instance is cut off.
-TEST_F(RelayTest, CallIsRefusedAtOnceWithoutALeader) {
+// Guards against calls that wait for their deadline although this instance is partitioned.
+TEST_F(RelayTest, CallIsRefusedAtOnceWithoutLeader) {
   Tick(milliseconds(10));
-  m_is_known = false;
+  m_is_leader_known = false;
   for (int i = 0; i < 25; ++i) Tick(milliseconds(100));
   Call();
   EXPECT_EQ(m_statuses, std::vector<int>{kRefused});
 }
 
-// Guards against calls that are dropped while the leader changes.
-TEST_F(RelayTest, CallWaitsForTheNextLeader) {
+// Guards against calls that are dropped during a change of leader.
+TEST_F(RelayTest, CallWaitsForNextLeader) {
   Tick(milliseconds(10));
-  m_is_known = false;
+  m_is_leader_known = false;
   Tick(milliseconds(300));
   Call();
-  EXPECT_TRUE(m_sent.empty());
-  m_is_known = true;
+  EXPECT_TRUE(m_sent_attempts.empty());
+  m_is_leader_known = true;
   m_epoch = 2;
   Tick(milliseconds(300));
-  ASSERT_EQ(m_sent.size(), 1U);
-  m_sent[0].done({true, true, true, {}});
+  ASSERT_EQ(m_sent_attempts.size(), 1U);
+  m_sent_attempts[0].done({true, true, true, {}});
   Tick(milliseconds(100));
-  ASSERT_EQ(m_sent.size(), 2U) << "an undecided answer is asked again";
-  m_sent[1].done(Answer(kOk));
+  ASSERT_EQ(m_sent_attempts.size(), 2U) << "an undecided response must be retried";
+  m_sent_attempts[1].done(Response(kOk));
   EXPECT_EQ(m_statuses, std::vector<int>{kOk});
 }
 
--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -10,11 +10,11 @@
 namespace jaymast {
 namespace {
 
-/// How long after a failed renewal the store counts as unreachable. A holder that was paused for longer must try again
-/// before it starts work.
-constexpr Duration kStoreLostMemory = std::chrono::seconds(3);
+/// How long after a failed renewal the store counts as unreachable. An entry that was paused for longer must try to
+/// renew again before it starts tasks.
+constexpr Duration kStoreUnavailableWindow = std::chrono::seconds(3);
 
-/// Delay for each better-ranked candidate, so that usually one entry expires a peer.
+/// Delay for each better-ranked candidate, so that usually only one entry tries to expire a peer.
 constexpr Duration kExpiryStagger = std::chrono::milliseconds(500);
 
 /// Extra delay of entries in other failure domains, which cannot take over the upstreams.
@@ -48,11 +48,11 @@
   if (m_record_version == 0) return false;
   const EntryState entry_state = state();
   if (entry_state != EntryState::kServing && entry_state != EntryState::kIsolated) return false;
-  return IsLeaseValid() || m_context.Now() < m_store_lost_until;
+  return IsLeaseValid() || m_context.Now() < m_store_unavailable_until;
 }
 
 void Membership::ScheduleRenewal() {
-  // A renewal out of turn replaces the timer, so that there is always one.
+  // An early renewal replaces the timer, so that exactly one is active.
   m_context.After(m_context.settings.renew_interval, [this, timer = ++m_renewal_timer] {
     if (timer == m_renewal_timer) Renew();
   });
@@ -72,7 +72,7 @@
   record.state = state();
   record.config_version = m_config_version;
   record.renewals = ++m_renewals;
-  // The lease counts from before the renewal is sent, so it never outlasts the wait of an entry that takes over.
+  // The lease counts from the time of sending, so it ends before another entry may expire the record.
   const Time sent_at = m_context.Now();
   const std::string key = EntryKey(m_context.self);
   std::vector<Write> writes = {{key, Encode(record)}};
@@ -84,7 +84,7 @@
         if (outcome == CommitOutcome::kConflict && !m_leaving) return m_hooks.on_lease_lost();
         OnRenewed(sent_at, outcome == CommitOutcome::kCommitted, version);
       },
-      [this] { OnRenewalLost(); });
+      [this] { OnRenewalFailed(); });
 }
 
 void Membership::OnRenewed(Time sent_at, bool committed, std::int64_t version) {
@@ -92,21 +92,21 @@
     m_record_version = version;
     if (m_home_version == 0) m_home_version = version;
     m_lease_deadline = sent_at + m_context.settings.lease_duration;
-    m_store_lost_until = Time();
+    m_store_unavailable_until = Time();
     Event event;
     event.kind = EventKind::kLeaseRenewed;
     event.config_version = m_config_version;
     m_context.effects.Emit(event);
     Handle(LifecycleEvent::kStoreAvailable);
   } else {
-    OnRenewalLost();
+    OnRenewalFailed();
   }
   if (std::exchange(m_renew_again, false)) return Renew();
   ScheduleRenewal();
 }
 
-void Membership::OnRenewalLost() {
-  m_store_lost_until = m_context.Now() + kStoreLostMemory;
+void Membership::OnRenewalFailed() {
+  m_store_unavailable_until = m_context.Now() + kStoreUnavailableWindow;
   if (m_record_version != 0 && !IsLeaseValid()) Handle(LifecycleEvent::kStoreUnavailable);
 }
 
@@ -179,14 +179,14 @@
 }
 
 void Membership::Expire(const EntryId& id, std::int64_t version) {
-  // Only an entry that is itself a member may adopt the tasks.
+  // Only a member may adopt the tasks.
   m_table.Commit({{EntryKey(id), version}, MembershipCondition()},
                  {{EntryKey(id), std::nullopt}, {HomeKey(id), std::nullopt}, {AdoptKey(id), m_context.self.value()}},
                  [this, id](CommitOutcome outcome, std::int64_t /*version*/) {
                    const auto peer = m_peers.find(id);
                    if (peer != m_peers.end()) {
                      peer->second.is_expiring = false;
-                     // The record was renewed; the next read tells how long it has to stay unchanged again.
+                     // If the record was renewed, the next read sets the time anew.
                      peer->second.expires_at = m_context.Now() + m_context.settings.lease_duration;
                    }
                    if (outcome != CommitOutcome::kCommitted) return;
--- a/src/placement/admission_queue_test.cc
+++ b/src/placement/admission_queue_test.cc
@@ -69,12 +69,12 @@
     return OfferOutcome::kNoCapacity;
   });
   EXPECT_FALSE(report.blocked.empty());
-  EXPECT_LE(offers, AdmissionQueue::kMaxFailedOffers);
+  EXPECT_LE(offers, AdmissionQueue::kMaxFailedOffersPerRank);
   EXPECT_EQ(queue.size(), 20'000U);
 }
 
-/// Guards against small tasks that wait behind a large one of the same team, and a limit of one team that stops others.
-TEST(AdmissionQueueTest, BlockedTasksDoNotStopOthers) {
+/// Guards against a large task that blocks smaller ones of its team, and a team limit that blocks other teams.
+TEST(AdmissionQueueTest, BlockedTasksDoNotBlockSmallerTasksOrOtherTeams) {
   FairShare shares;
   AdmissionQueue queue(shares, 100);
   WaitingTask large = Waiting("large", WorkClass::kBatch, "a", kStart);
@@ -83,14 +83,14 @@
   queue.Push(Waiting("small", WorkClass::kBatch, "a", kStart + seconds(1)));
   queue.Push(Waiting("limited", WorkClass::kBatch, "b", kStart));
   queue.Push(Waiting("other", WorkClass::kBatch, "c", kStart));
-  std::vector<std::string> taken;
+  std::vector<std::string> placed;
   const OfferReport report = queue.Offer(kStart, [&](const WaitingTask& task) {
     if (task.spec.team == TeamId("b")) return OfferOutcome::kRefused;
     if (task.spec.demand.cpu_millis > 10'000) return OfferOutcome::kNoCapacity;
-    taken.push_back(task.id.task.value());
+    placed.push_back(task.id.task.value());
     return OfferOutcome::kPlaced;
   });
-  EXPECT_EQ(taken, (std::vector<std::string>{"other", "small"}));
+  EXPECT_EQ(placed, (std::vector<std::string>{"other", "small"}));
   ASSERT_EQ(report.blocked.size(), 1U);
   EXPECT_EQ(report.blocked.front().task, TaskId("large"));
   queue.Prefer(report.blocked.front());
@@ -98,7 +98,7 @@
   EXPECT_EQ(OrderOfDispatch(queue, kStart).front(), "large");
 }
 
-/// Guards against starvation of gangs and batch work by a steady flow of work of higher classes.
+/// Guards against starvation of gangs and batch work by a steady flow of tasks of higher classes.
 TEST(AdmissionQueueTest, OldWorkIsNotStarvedByHigherClasses) {
   for (const WorkClass starved : {WorkClass::kGang, WorkClass::kBatch}) {
     FairShare shares;
@@ -136,7 +136,7 @@
   queue.Push(std::move(cannot_finish));
   for (int i = 20; i < 21; ++i) queue.Push(Waiting(std::to_string(i), WorkClass::kBatch, "a", kStart));
   EXPECT_EQ(queue.size(), 10U);
-  // The queue is full, two tasks left it in the last seconds, and the late task has seven before it.
+  // The queue is full, two tasks have left it, and the late task has seven before it.
   EXPECT_TRUE(queue.Push(Waiting("new", WorkClass::kBatch, "a", kStart + seconds(1))));
   const auto expired = queue.TakeExpired(kStart + seconds(1));
   ASSERT_EQ(expired.size(), 2U);
@@ -144,7 +144,7 @@
   EXPECT_EQ(expired[1].id.task, TaskId("cannot-finish"));
 }
 
-/// Guards against pointers to removed tasks when the placement callback changes the queue.
+/// Guards against dangling pointers to removed tasks when the placement callback changes the queue.
 TEST(AdmissionQueueTest, CallbackMayChangeTheQueue) {
   FairShare shares;
   std::mt19937_64 random(3);
--- a/src/placement/estimator.cc
+++ b/src/placement/estimator.cc
@@ -20,14 +20,14 @@
 
 bool Estimator::HasEnoughObservations(const TaskSpec& spec) const {
   const auto kind = m_kinds.find(KeyOf(spec));
-  return kind != m_kinds.end() && kind->second.count >= kTrusted;
+  return kind != m_kinds.end() && kind->second.count >= kMinObservations;
 }
 
 Estimate Estimator::EstimateFor(const TaskSpec& spec) const {
   const auto known = m_kinds.find(KeyOf(spec));
   if (known == m_kinds.end()) return {spec.declared_run_ms, spec.demand};
   const Kind& kind = known->second;
-  if (kind.count < kTrusted) return Quantiles(kind, spec, kPriorWeight);
+  if (kind.count < kMinObservations) return Quantiles(kind, spec, kPriorWeight);
   Estimate estimate = kind.learned;
   estimate.size.accelerators = spec.demand.accelerators;
   estimate.size.slots = spec.demand.slots;
@@ -35,7 +35,7 @@
 }
 
 std::size_t Estimator::MemoryBytes() const {
-  constexpr std::size_t kNodeBytes = 64;  // nodes of the hash table and of the list
+  constexpr std::size_t kNodeBytes = 64;  // overhead of the hash table node and the list node
   std::size_t bytes = sizeof(*this);
   for (const auto& [key, kind] : m_kinds) {
     bytes += sizeof(Kind) + 2 * (sizeof(std::string) + key.capacity()) + kNodeBytes;
@@ -58,7 +58,7 @@
 
 Estimate Estimator::Quantiles(const Kind& kind, const TaskSpec& spec, std::size_t prior_weight) {
   Estimate estimate{0, spec.demand};
-  // An unknown declared run time is no prior.
+  // A run time of 0 is unknown and no prior.
   const std::size_t run_weight = spec.declared_run_ms > 0 ? prior_weight : 0;
   estimate.run_ms = Quantile(kind, &Observation::run_ms, spec.declared_run_ms, run_weight);
   estimate.size.cpu_millis = Quantile(kind, &Observation::cpu_millis, spec.demand.cpu_millis, prior_weight);
@@ -69,16 +69,16 @@
 Estimator::Kind& Estimator::Touch(const std::string& key) {
   const auto known = m_kinds.find(key);
   if (known != m_kinds.end()) {
-    m_ages.splice(m_ages.begin(), m_ages, known->second.age);
+    m_lru.splice(m_lru.begin(), m_lru, known->second.lru_position);
     return known->second;
   }
   if (m_kinds.size() >= kMaxKinds) {
-    m_kinds.erase(m_ages.back());
-    m_ages.pop_back();
+    m_kinds.erase(m_lru.back());
+    m_lru.pop_back();
   }
-  m_ages.push_front(key);
+  m_lru.push_front(key);
   Kind& kind = m_kinds[key];
-  kind.age = m_ages.begin();
+  kind.lru_position = m_lru.begin();
   return kind;
 }
 
--- a/src/placement/test_cluster.h
+++ b/src/placement/test_cluster.h
@@ -8,8 +8,8 @@
 
 namespace jaymast {
 
-/// Worker with 32 processors, 128 GB and 8 slots, eight workers to a rack and three failure domains.
-inline UpstreamInfo TestWorker(int number) {
+/// Upstream with 32 processors, 128 GB and 8 slots, in one of three failure domains with eight upstreams per rack.
+inline UpstreamInfo TestUpstream(int number) {
   UpstreamInfo info;
   info.id = UpstreamId("u" + std::to_string(number));
   info.domain = DomainId("d" + std::to_string(number % 3));
--- a/src/upstream/executor.h
+++ b/src/upstream/executor.h
@@ -26,7 +26,7 @@
 class ConfigStore;
 class Membership;
 
-/// Owner role: places, starts and watches tasks on the upstreams that this entry owns.
+/// Places, starts and monitors tasks on the upstreams that this entry owns.
 class Executor {
  public:
   using RunDone = std::function<void(const RunReply&)>;
@@ -34,7 +34,7 @@
   struct Hooks {
     std::function<void(const EntryId&, const PeerMessage&)> send;  ///< to a peer or to this entry
     std::function<void(const UpstreamId&, const FencingToken&)> on_refused;
-    std::function<void(const UpstreamId&)> on_unreachable;  ///< no answer for longer than a task lease
+    std::function<void(const UpstreamId&)> on_unreachable;  ///< no reply for longer than a task lease
   };
 
   Executor(Context& context, const ConfigStore& config, const Membership& membership, Allotments& allotments,
@@ -52,7 +52,7 @@
   void OnStopOrder(const StopOrder& order);
   void OnResultAck(const TaskResultAck& ack);
 
-  void OnAcquired(const AcquiredUpstream& acquisition);
+  void OnAcquired(const AcquiredUpstream& acquired);
   void OnOwnershipLost(const UpstreamId& id);
   void OnCommitted(const UpstreamId& id);
   void OnLeasesExpired(const UpstreamId& id);
@@ -61,22 +61,22 @@
 
   void OnInstances(const InstanceList& list);
 
-  /// Takes in a new configuration: teams, policies, failure domains and upstreams out.
+  /// Applies a new configuration: teams, policies, and failure domains and upstreams out of service.
   void OnConfig();
 
-  /// Offers free capacity to the waiting tasks.
+  /// Places waiting tasks on free capacity.
   void Dispatch();
 
-  /// Whether at least one owned upstream may get new tasks.
+  /// Whether at least one owned upstream accepts new tasks.
   bool HasUsableUpstream() const;
 
-  /// Refuses all tasks that wait for capacity, for a planned stop.
+  /// Refuses all tasks that wait for capacity, so that other owners can run them.
   void RefuseAllWaiting();
 
-  /// Previews whose answer is open at a runner.
+  /// Number of run requests that a runner has not replied to.
   std::size_t OpenRuns() const { return m_open_runs; }
 
-  /// Tasks that use capacity now, without held ones.
+  /// Number of tasks that are starting, running or unresolved.
   std::size_t RunningCount() const;
 
   Summary MakeSummary() const;
@@ -97,21 +97,21 @@
 
   // Placing and starting.
   OfferOutcome Place(const WaitingTask& waiting);
-  void ReserveBlocked(const OfferReport& report);
+  void ReserveForBlocked(const OfferReport& report);
   void LimitReturningDomain();
   bool IsEligible(const OwnedUpstream& upstream) const;
-  bool IsOut(const UpstreamInfo& info) const;
+  bool IsOutOfService(const UpstreamInfo& info) const;
   void UpdateEligibility();
   void UpdateEligibility(const UpstreamId& id);
   OwnedTask& Hold(const WaitingTask& waiting, const UpstreamId& upstream);
   void StartRun(const AttemptId& id, WaitingRun run);
-  void OnRunAnswered(const AttemptId& id, const WaitingRun& run, const UpstreamReply& reply);
+  void OnRunTaskReply(const AttemptId& id, const WaitingRun& run, const UpstreamReply& reply);
   void CallStart(const AttemptId& id, OwnedTask& task, const StartOrder& order);
-  void OnStartAnswered(const AttemptId& id, const EntryId& home, const UpstreamReply& reply);
+  void OnStartTaskReply(const AttemptId& id, const EntryId& home, const UpstreamReply& reply);
   void RefuseWaiting(const WaitingTask& waiting);
   void ExpireWaiting();
   void ExpireHolds();
-  void SetPhase(OwnedTask& task, OwnedPhase phase);
+  void SetPhase(OwnedTask& task, OwnedTaskPhase phase);
   std::int64_t RunnerNow(const OwnedUpstream& upstream) const;
   void EmitStart(EventKind kind, const AttemptId& id, const OwnedTask& task, const std::string& verdict);
 
@@ -126,15 +126,15 @@
   void ApplyReport(const UpstreamId& id, OwnedUpstream& upstream, Time sent_at, const UpstreamReply& reply);
   void ApplyRunnerTask(const UpstreamId& id, OwnedUpstream& upstream, const RunnerTask& report);
   void AddReported(const UpstreamId& id, OwnedUpstream& upstream, const RunnerTask& report);
-  void ResolveMissing(const AttemptId& id, OwnedTask& task, Time sent_at, std::int64_t runner_now_ms);
+  void ResolveUnreported(const AttemptId& id, OwnedTask& task, Time sent_at, std::int64_t runner_now_ms);
   void End(const AttemptId& id, Outcome outcome, const std::string& output, std::int64_t run_ms, bool is_from_runner);
-  void FreeCapacity(const OwnedTask& task);
+  void ReleaseCapacity(const OwnedTask& task);
   void Erase(const AttemptId& id);
   void SendResult(OwnedTask& task);
   void ResendResults();
   void RequestStop(const AttemptId& id, OwnedTask& task, StopMode mode);
   void CallStop(const AttemptId& id, const OwnedTask& task);
-  void EvacuateOut();
+  void EvacuateOutOfService();
   void CheckOverruns();
   void RecordHealth(const UpstreamId& id, bool success);
 
@@ -148,15 +148,15 @@
   Estimator m_estimator;
   AdmissionQueue m_queue;
   FailureAttribution m_attribution;
-  bool m_was_out = false;               ///< the own failure domain was out of service in the last configuration
-  std::optional<AttemptId> m_reserved;  ///< waiting task for which a start is reserved
+  bool m_domain_was_out_of_service = false;  ///< the own failure domain was out of service in the last configuration
+  std::optional<AttemptId> m_reserved;       ///< waiting task that has a reserved start
   TaskSpec m_reserved_spec;
   std::map<UpstreamId, OwnedUpstream> m_upstreams;
   std::map<AttemptId, OwnedTask> m_tasks;
   std::map<AttemptId, WaitingRun> m_waiting_runs;
-  /// Attempts that were started on an upstream which this entry lost, until when they are remembered. A repeated start
-  /// order must not be answered as not started.
-  std::map<AttemptId, Time> m_lost_attempts;
+  /// Attempts that were started on an upstream which this entry no longer owns, with the time until which they are
+  /// kept. A repeated start order for one of them must not be reported as not started.
+  std::map<AttemptId, Time> m_former_attempts;
   std::size_t m_open_runs = 0;
   bool m_dispatching = false;
 };
