--- a/src/cell/scheduler_upstreams.cc
+++ b/src/cell/scheduler_upstreams.cc
@@ -25,7 +25,7 @@
 /// An upstream gets no tasks after this time without a reply; above the wait of a sync.
 constexpr Duration kUnreachableAfter{1'600'000};
 /// A run whose reported progress does not change for this time counts as stalled.
-constexpr Duration kStalledRunTimeout{2'500'000};
+constexpr Duration kStallTimeout{2'500'000};
 /// An upstream where runs of several jobs fail, or a run stalls, gets no tasks for this time.
 constexpr Duration kQuarantine{4'000'000};
 constexpr int kQuarantineAfterFailures = 2;
@@ -343,8 +343,7 @@
 void Scheduler::CheckProgress(UpstreamState& upstream) {
   for (const TaskKey& key : std::vector<TaskKey>(upstream.tasks)) {
     TaskState* task = FindTask(key);
-    if (task == nullptr || task->phase != TaskPhase::kRunning || m_now - task->progressed_at < kStalledRunTimeout)
-      continue;
+    if (task == nullptr || task->phase != TaskPhase::kRunning || m_now - task->progressed_at < kStallTimeout) continue;
     Job& job = *FindJob(key.job);
     if (job.spec.steps[key.step].is_long_running) continue;
     StepState& step = StepOf(job, key);
--- a/src/cell_testing/fake_upstream.h
+++ b/src/cell_testing/fake_upstream.h
@@ -60,8 +60,7 @@
     for (const auto& [key, run] : m_running) used += run.work.demand;
     if (!used.FitsIn(m_listing.capacity)) AddViolation("capacity exceeded", order.task);
     if (m_history.running[order.task] > 0) AddViolation("two runs at one time", order.task);
-    if (m_history.acknowledged_done.contains(order.task))
-      AddViolation("started after its end was acknowledged", order.task);
+    if (m_history.acknowledged_done.contains(order.task)) AddViolation("started after acknowledged end", order.task);
     ++m_history.running[order.task];
     ++m_history.starts[order.task];
     m_history.runs[order.task].insert(order.run);
--- a/src/cell_testing/simulated_cluster.h
+++ b/src/cell_testing/simulated_cluster.h
@@ -104,7 +104,7 @@
     FakeClientCodec codec;
     bool is_up = true;
     bool is_paused = false;
-    std::set<std::string> partitioned_from;  ///< addresses of unreachable peers and upstreams
+    std::set<std::string> unreachable;  ///< addresses of unreachable peers and upstreams
     std::uint64_t process_incarnation = 0;
   };
 
@@ -280,7 +280,7 @@
 
     FakeUpstream* FindReachable(const UpstreamTarget& target) {
       FakeUpstream* upstream = m_cluster.FindUpstream(target.address);
-      const bool is_partitioned = m_instance.partitioned_from.contains(target.address);
+      const bool is_partitioned = m_instance.unreachable.contains(target.address);
       if (upstream == nullptr || !upstream->is_reachable || is_partitioned) return nullptr;
       return upstream;
     }
@@ -388,8 +388,7 @@
     for (const auto& instance : instances) {
       if (instance->address == address) target = instance.get();
     }
-    if (target == nullptr || from.partitioned_from.contains(address) || target->partitioned_from.contains(from.address))
-      return;
+    if (target == nullptr || from.unreachable.contains(address) || target->unreachable.contains(from.address)) return;
     if (!target->is_up) {
       PeerResult refused;
       refused.was_sent = false;
--- a/src/instance/cell_fault_schedule_test.cc
+++ b/src/instance/cell_fault_schedule_test.cc
@@ -64,10 +64,10 @@
         cluster.fake_upstreams[static_cast<std::size_t>(upstream)]->Restart();
         break;
       case 5:
-        cluster.At(instance).partitioned_from.insert("u" + std::to_string(upstream));
-        cluster.At(instance).partitioned_from.insert("i" + std::to_string(pick(kInstances)));
+        cluster.At(instance).unreachable.insert("u" + std::to_string(upstream));
+        cluster.At(instance).unreachable.insert("i" + std::to_string(pick(kInstances)));
         cluster.queue.After(milliseconds(500 + pick(4000)),
-                            [&cluster, instance] { cluster.At(instance).partitioned_from.clear(); });
+                            [&cluster, instance] { cluster.At(instance).unreachable.clear(); });
         break;
       default:
         break;
--- a/src/instance/cell_takeover_test.cc
+++ b/src/instance/cell_takeover_test.cc
@@ -39,7 +39,7 @@
   cluster.Run(seconds(2));
   const int follower = AnyFollower(cluster);
   cluster.At(follower).store->fault = StoreFault::kNoReply;
-  for (int i = 0; i < 3; ++i) cluster.At(follower).partitioned_from.insert(cluster.At(i).address);
+  for (int i = 0; i < 3; ++i) cluster.At(follower).unreachable.insert(cluster.At(i).address);
   cluster.Run(milliseconds(650));
   cluster.Call(follower, "POST", "job1", "tasks=1");
   cluster.Run(seconds(3));
@@ -105,16 +105,16 @@
   for (int i = 0; i < 4; ++i) {
     const bool is_inside = i == leader || i == other_inside;
     if (is_inside) cluster.At(i).store->fault = StoreFault::kNoReply;
-    cluster.At(i).partitioned_from.insert(is_inside ? "u0" : "u1");
+    cluster.At(i).unreachable.insert(is_inside ? "u0" : "u1");
     for (int j = 0; j < 4; ++j) {
-      if (is_inside != (j == leader || j == other_inside)) cluster.At(i).partitioned_from.insert(cluster.At(j).address);
+      if (is_inside != (j == leader || j == other_inside)) cluster.At(i).unreachable.insert(cluster.At(j).address);
     }
   }
   cluster.Run(milliseconds(2500));
   for (int i = 0; i < 4; ++i) {
     const bool is_inside = i == leader || i == other_inside;
     EXPECT_EQ(cluster.At(i).cell->is_ready(), !is_inside) << i;
-    cluster.At(i).partitioned_from.clear();
+    cluster.At(i).unreachable.clear();
     cluster.At(i).store->fault = StoreFault::kNone;
   }
   cluster.Run(milliseconds(1500));
--- a/src/model/codec.cc
+++ b/src/model/codec.cc
@@ -116,8 +116,7 @@
   if (policies == nullptr) return;
   for (const auto& [name, value] : *policies) {
     const std::optional<WorkClass> work_class = FromString<WorkClass>(std::string_view(name));
-    if (!work_class || !value.is_string())
-      return reader.Fail("policies", "expected a policy name for each class of work");
+    if (!work_class || !value.is_string()) return reader.Fail("policies", "expected a policy name per class of work");
     config.policies[*work_class] = std::string(value.get_string());
   }
 }
--- a/src/ownership/ownership.cc
+++ b/src/ownership/ownership.cc
@@ -62,8 +62,9 @@
 EntryId Ownership::PreferredOwner(const UpstreamId& id) const {
   std::vector<EntryId> candidates = m_membership.OwnerCandidates();
   const bool is_isolated = m_membership.state() == EntryState::kIsolated;
-  if (is_isolated)
+  if (is_isolated) {
     std::erase_if(candidates, [this](const EntryId& entry) { return !m_membership.HasRecentHeartbeat(entry); });
+  }
   return PreferredEntry(id.value(), candidates);
 }
 
--- a/src/runtime/settings.cc
+++ b/src/runtime/settings.cc
@@ -148,8 +148,9 @@
     config.teams[TeamId(name)] = Team{team.Int("share", 1, 1, kMaxCount), team.Int("limit", 0, 0, kMaxCount)};
   }
   for (auto& [name, key] : reader.NamedTables("keys")) config.keys[KeyId(name)] = ReadKey(key);
-  for (const std::string& domain : reader.Strings("domains_out"))
+  for (const std::string& domain : reader.Strings("domains_out")) {
     config.domains_out_of_service.insert(DomainId(domain));
+  }
   TomlReader policies = reader.Table("policies");
   for (const std::string_view name : EnumNames<WorkClass>::kNames) {
     const std::string policy = policies.String(name, "");
