--- a/src/tasks/task_dispatch.cc
+++ b/src/tasks/task_dispatch.cc
@@ -28,8 +28,8 @@
 /// After failures on this many different upstreams, the fault is taken to be in the task and not in the upstreams.
 constexpr std::size_t kMaxFailedUpstreams = 3;
 
-constexpr std::array<WorkClass, 5> kServiceOrder = {WorkClass::kPreview, WorkClass::kUrgent, WorkClass::kService,
-                                                    WorkClass::kGang, WorkClass::kBatch};
+constexpr std::array<WorkClass, 5> kDispatchOrder = {WorkClass::kPreview, WorkClass::kUrgent, WorkClass::kService,
+                                                     WorkClass::kGang, WorkClass::kBatch};
 
 /// Whether this task will not be placed again, so that the rest of its gang need not wait for it.
 bool IsPlacementFinal(const HomeTask& task) {
@@ -48,7 +48,7 @@
 
 void TaskManager::DispatchQueue() {
   if (m_is_draining) return;
-  for (const WorkClass work_class : kServiceOrder) {
+  for (const WorkClass work_class : kDispatchOrder) {
     while (m_open_hold_requests < kMaxOpenHoldRequests && DispatchNext(work_class)) {
     }
   }
@@ -269,7 +269,7 @@
   if (task->cancel_requested) m_hooks.send(task->owner, StopOrder{running.id, StopMode::kStop});
 }
 
-void TaskManager::FindOwner(const AttemptId& id) {
+void TaskManager::ProbeNewOwner(const AttemptId& id) {
   const HomeTask* task = Find(id);
   ReadRequest request;
   request.keys.push_back(OwnerKey(task->domain, task->upstream));
@@ -315,7 +315,7 @@
       }
       return ApplyFailure(task, from, result);
     case Outcome::kCheckpointed:
-      return Checkpoint(task, from, result);
+      return CommitCheckpoint(task, from, result);
     case Outcome::kExpired:
       if (task.spec.semantics == Semantics::kAtMostOnce) {
         return End(task,
@@ -346,7 +346,7 @@
   Requeue(task, "failed: " + result.output);
 }
 
-void TaskManager::Checkpoint(HomeTask& task, const EntryId& from, const TaskResult& result) {
+void TaskManager::CommitCheckpoint(HomeTask& task, const EntryId& from, const TaskResult& result) {
   task.phase = HomeTaskPhase::kEnding;
   m_started_tasks.erase(task.spec.id);
   JournalRecord record;
@@ -358,7 +358,7 @@
     if (current == nullptr) return;
     if (outcome != CommitOutcome::kCommitted) {
       m_context.After(kCommitRetryDelay, [this, from, result] {
-        if (HomeTask* again = Find(result.id)) Checkpoint(*again, from, result);
+        if (HomeTask* again = Find(result.id)) CommitCheckpoint(*again, from, result);
       });
       return;
     }
--- a/src/tasks/task_manager.cc
+++ b/src/tasks/task_manager.cc
@@ -20,7 +20,7 @@
 namespace {
 
 constexpr Duration kProbeSweepInterval = std::chrono::seconds(1);
-constexpr Duration kFirstProbeDelay = std::chrono::seconds(3);
+constexpr Duration kProbeRetryInterval = std::chrono::seconds(3);
 
 /// Timeout of accepting the tasks of a confirmed plan, after which they are submitted again.
 constexpr Duration kPlanSubmitTimeout = std::chrono::seconds(2);
@@ -210,7 +210,7 @@
   m_submissions.erase(submission);
   const std::uint64_t call = m_next_call++;
   m_forwarded_queries[call] = ForwardedQuery{request, first, TeamId(), false, wait_until};
-  FindHome(first, call);
+  ForwardQuery(first, call);
 }
 
 void TaskManager::FinishAcceptance(std::uint64_t submission) {
@@ -348,12 +348,12 @@
 }
 
 void TaskManager::Probe(HomeTask& task) {
-  task.next_probe = m_context.Now() + kFirstProbeDelay;
+  task.next_probe = m_context.Now() + kProbeRetryInterval;
   const AttemptId id{task.spec.id, task.attempt};
   constexpr std::int64_t kUnansweredProbesBeforeLookup = 2;
   const bool is_owner_unresponsive = ++task.unanswered_probes > kUnansweredProbesBeforeLookup;
   const bool is_owner_known = m_membership.HasLeaseRecord(task.owner);
-  if (is_owner_unresponsive || !is_owner_known) FindOwner(id);
+  if (is_owner_unresponsive || !is_owner_known) ProbeNewOwner(id);
   if (is_owner_known) m_hooks.send(task.owner, TaskProbe{id, task.upstream, task.epoch});
 }
 
--- a/src/tasks/task_manager.h
+++ b/src/tasks/task_manager.h
@@ -114,7 +114,7 @@
   // Queries.
   void QueryHome(const EntryId& home, std::uint64_t call);
   void ScheduleForwardRetry(std::uint64_t call);
-  void FindHome(const TaskId& task, std::uint64_t call);
+  void ForwardQuery(const TaskId& task, std::uint64_t call);
   void AddWaiter(Waiter waiter, Time wait_until);
   void NotifyWaiters(const TaskId& task);
   void NotifyWaiter(const Waiter& waiter);
@@ -142,14 +142,14 @@
   // Outcomes.
   void Apply(HomeTask& task, const EntryId& from, const TaskResult& result);
   void ApplyFailure(HomeTask& task, const EntryId& from, const TaskResult& result);
-  void Checkpoint(HomeTask& task, const EntryId& from, const TaskResult& result);
+  void CommitCheckpoint(HomeTask& task, const EntryId& from, const TaskResult& result);
   void End(HomeTask& task, TaskEnd end, const EntryId& acknowledge_to);
   void CommitEnd(const AttemptId& id, const EntryId& acknowledge_to);
   void Acknowledge(const EntryId& to, const AttemptId& id);
   void RetainOutcome(const TaskId& task);
   void ProbeStarted();
   void Probe(HomeTask& task);
-  void FindOwner(const AttemptId& id);
+  void ProbeNewOwner(const AttemptId& id);
 
   // Adoption.
   void AdoptOrphan(const EntryId& home, std::int64_t row_version);
--- a/src/tasks/task_queries.cc
+++ b/src/tasks/task_queries.cc
@@ -30,7 +30,7 @@
   if (found == m_tasks.end()) {
     const std::uint64_t call = m_next_call++;
     m_forwarded_queries[call] = ForwardedQuery{request, id, team, cancel, wait_until};
-    return FindHome(id, call);
+    return ForwardQuery(id, call);
   }
   HomeTask& task = found->second;
   if (!team.empty() && task.spec.team != team) {
@@ -41,7 +41,7 @@
   AddWaiter(Waiter{request, EntryId(), 0, id}, wait_until);
 }
 
-void TaskManager::FindHome(const TaskId& task, std::uint64_t call) {
+void TaskManager::ForwardQuery(const TaskId& task, std::uint64_t call) {
   const EntryId home = HomeOf(task);
   if (m_membership.HasLeaseRecord(home) && home != m_context.self) return QueryHome(home, call);
   ReadRequest request;
@@ -80,7 +80,7 @@
   m_context.After(kForwardRetryInterval, [this, call] {
     const auto found = m_forwarded_queries.find(call);
     if (found == m_forwarded_queries.end()) return;
-    if (m_context.Now() < found->second.wait_until + kForwardMargin) return FindHome(found->second.task, call);
+    if (m_context.Now() < found->second.wait_until + kForwardMargin) return ForwardQuery(found->second.task, call);
     FailForwarded(call, kStatusUnavailable, Error{ErrorId::kNotServing, "", "the home entry did not answer"});
   });
 }
--- a/src/upstream/executor.cc
+++ b/src/upstream/executor.cc
@@ -53,7 +53,7 @@
 void Executor::Start() {
   RenewDue();
   CheckOverruns();
-  ExpireWaiting();
+  Sweep();
 }
 
 bool Executor::IsOutOfService(const UpstreamInfo& info) const {
@@ -166,8 +166,8 @@
   if (!m_membership.MayStart()) return OfferOutcome::kNoCapacity;
   const Result<UpstreamId> upstream = m_placer.Choose(waiting.spec, m_context.Now());
   if (!upstream) {
-    const bool is_reserved = upstream.error().path == "/declared_run_ms";
-    return is_reserved ? OfferOutcome::kBlockedByReservation : OfferOutcome::kNoCapacity;
+    const bool would_delay_reserved_start = upstream.error().path == "/declared_run_ms";
+    return would_delay_reserved_start ? OfferOutcome::kBlockedByReservation : OfferOutcome::kNoCapacity;
   }
   if (!m_allotments.TryAcquire(waiting.spec.team)) return OfferOutcome::kRefused;
   OwnedTask& task = Hold(waiting, *upstream);
@@ -393,7 +393,7 @@
   for (const WaitingTask& waiting : m_queue.TakeExpired(Time::max())) RefuseWaiting(waiting);
 }
 
-void Executor::ExpireWaiting() {
+void Executor::Sweep() {
   for (const WaitingTask& waiting : m_queue.TakeExpired(m_context.Now())) RefuseWaiting(waiting);
   ExpireHolds();
   ResendResults();
@@ -401,7 +401,7 @@
   for (auto& [id, upstream] : m_upstreams) upstream.health.OnTick(m_context.Now());
   UpdateEligibility();
   Dispatch();
-  m_context.After(kSweepInterval, [this] { ExpireWaiting(); });
+  m_context.After(kSweepInterval, [this] { Sweep(); });
 }
 
 void Executor::ExpireHolds() {
--- a/src/upstream/executor.h
+++ b/src/upstream/executor.h
@@ -109,7 +109,7 @@
   void CallStart(const AttemptId& id, OwnedTask& task, const StartOrder& order);
   void OnStartTaskReply(const AttemptId& id, const EntryId& home, const UpstreamReply& reply);
   void RefuseWaiting(const WaitingTask& waiting);
-  void ExpireWaiting();
+  void Sweep();
   void ExpireHolds();
   void SetPhase(OwnedTask& task, OwnedTaskPhase phase);
   std::int64_t RunnerNow(const OwnedUpstream& upstream) const;
