--- a/src/placement/admission_queue.h
+++ b/src/placement/admission_queue.h
@@ -39,7 +39,7 @@
   kRefused,               ///< not placed for a reason that affects its team only, such as the team's limit
 };
 
-/// Order in which waiting tasks are served.
+/// Order in which waiting tasks are served. The baselines are for comparison in simulations.
 enum class QueueOrder {
   kFairShare,  ///< by class of work, then by fair share, then by age
   kPriority,   ///< baseline: by class of work, then by age
@@ -55,7 +55,8 @@
 /// Queues tasks that wait for capacity, and serves them by class of work and then by fair share.
 ///
 /// There is one sub-queue for each class of work, team and failure domain, ordered by age. A round of offers visits the
-/// heads of the sub-queues and a bounded number of tasks behind heads that do not fit.
+/// heads of the sub-queues and a bounded number of tasks behind heads that do not fit. In the order kFairShare each
+/// class of work is a rank, and so are starved tasks, which have waited too long.
 class AdmissionQueue {
  public:
   /// Tasks of one rank visited and not placed in one round. Bounds the cost of a round on a long queue.
@@ -91,7 +92,8 @@
   /// erase tasks.
   void Dispatch(Time now, const std::function<bool(const WaitingTask&)>& place);
 
-  /// As Dispatch, but smaller or shorter tasks are still offered after one that does not fit.
+  /// As Dispatch, but `place` returns why a task was not placed, so that tasks of other teams which cannot be placed
+  /// for the same reason are not offered either.
   OfferReport Offer(Time now, const std::function<OfferOutcome(const WaitingTask&)>& place);
 
   /// As Offer, for previews and urgent tasks only. Cheap enough to run whenever such a task arrives.
@@ -106,7 +108,7 @@
   std::size_t MemoryBytes() const;
 
  private:
-  using Age = std::pair<Time, std::uint64_t>;
+  using Age = std::pair<Time, std::uint64_t>;  ///< time of queueing and sequence number
   using QueueKey = std::tuple<WorkClass, TeamId, DomainId>;
 
   struct Entry {
--- a/src/placement/admission_queue_offer.cc
+++ b/src/placement/admission_queue_offer.cc
@@ -22,8 +22,8 @@
 constexpr Duration kGangStarvationAge = std::chrono::minutes(2);
 constexpr Duration kStarvationAge = std::chrono::minutes(10);
 
-/// After a task that would delay a reserved start, equal and larger tasks are offered only if their run time is shorter
-/// than its run time divided by this.
+/// When a task would delay a reserved start, tasks of equal or larger demand are offered in the same round only if
+/// their expected run time is less than that of the task divided by this.
 constexpr std::int64_t kRunTimeDivisor = 2;
 
 /// Failed demands recorded in one round. Each task is compared with all of them.
--- a/src/placement/estimator.h
+++ b/src/placement/estimator.h
@@ -14,8 +14,8 @@
 
 /// Expected run time and resource usage of a task.
 struct Estimate {
-  std::int64_t run_ms = 0;
-  Resources size;
+  std::int64_t run_ms = 0;  ///< 0 if unknown
+  Resources size;           ///< expected peak usage
 };
 
 /// Estimates run time and resource usage per team and kind, as 90th percentiles over a window of finished tasks.
--- a/src/placement/failure_attribution.h
+++ b/src/placement/failure_attribution.h
@@ -14,7 +14,7 @@
 
 namespace jaymast {
 
-/// Attributes failures to upstreams or to jobs.
+/// Attributes failures to upstreams or to jobs. A job is a task with all its attempts.
 ///
 /// An upstream is faulty if it fails jobs that succeed elsewhere; a job is faulty if it fails on several reliable
 /// upstreams. A faulty upstream is quarantined. At the end of the quarantine one task is started there as a probe. A
--- a/src/placement/fair_share.h
+++ b/src/placement/fair_share.h
@@ -62,7 +62,7 @@
   std::size_t MemoryBytes() const;
 
  private:
-  using Amounts = std::array<double, 4>;
+  using Amounts = std::array<double, 4>;  ///< in the order of the fields of Resources
 
   struct Usage {
     double weight = 1.0;
--- a/src/placement/placer.cc
+++ b/src/placement/placer.cc
@@ -253,7 +253,7 @@
   const std::int64_t free_previews = m_table.free_previews(index);
   const std::int64_t spare = m_table.total_free_previews() - query.reserved_previews;
   if (free_previews <= std::max<std::int64_t>(spare, 0)) return true;
-  // Where previews fit, almost every task displaces at least one.
+  // No preview may be displaced, and almost every task displaces at least one.
   if (spare <= 0) return false;
   return free_previews - m_table.PreviewsIn(m_table.schedulable_free(index) - query.spec.demand) <= spare;
 }
--- a/src/placement/placer.h
+++ b/src/placement/placer.h
@@ -39,35 +39,37 @@
   void SetPolicies(const std::map<WorkClass, std::string>& policies);
 
   /// Sets the capacity that is kept free for previews.
-  /// @param slots_permille previews to keep free, in thousandths of the slots of the schedulable upstreams
+  /// @param slots_permille number of previews to keep capacity free for, in thousandths of the slots of the schedulable
+  /// upstreams
   /// @param preview_demand demand of one preview
   void SetHeadroom(std::int64_t slots_permille, const Resources& preview_demand);
 
   /// Uses learned instead of declared run times. The estimator must outlive the placer.
   void SetEstimator(const Estimator* estimator) { m_estimator = estimator; }
 
-  /// Adds or updates an upstream. An update keeps the reserved capacity.
+  /// Adds or updates an upstream. An update keeps the allocated capacity.
   void PutUpstream(const UpstreamInfo& info);
   void RemoveUpstream(const UpstreamId& id);
 
-  /// Sets whether the upstream gets new tasks. Its reserved capacity is kept.
+  /// Sets whether the upstream gets new tasks. Its allocated capacity is kept.
   void SetEligible(const UpstreamId& id, bool eligible);
 
   /// Limits starts in a failure domain that has returned to service.
   /// @param until end of the limit
   void LimitStarts(const DomainId& domain, Time until, std::int64_t starts_per_second, Time now);
 
-  /// Chooses an upstream without reserving it.
+  /// Chooses an upstream without allocating capacity.
   /// @return the upstream, or an error with the path of the binding constraint: kNoCapacity when the task may fit
   /// later (path /declared_run_ms when a shorter task would fit before a reserved start), kDemandImpossible when no
   /// upstream of this placer could hold it even if it were empty
   /// Complexity: bounded by the sample, plus one comparison for each 16 upstreams.
   Result<UpstreamId> Choose(const TaskSpec& spec, Time now);
 
-  /// Chooses upstreams for all members of a gang without reserving them.
+  /// Chooses upstreams for all members of a gang without allocating capacity.
   /// @return one upstream for each member in order, or the error of the first member that does not fit
   Result<std::vector<UpstreamId>> ChooseGang(const std::vector<TaskSpec>& members, Time now);
 
+  /// Allocates capacity to a task until Release(). Cancels a reserved start of the task.
   void Reserve(const UpstreamId& id, const TaskSpec& spec, Time now);
   void Release(const UpstreamId& id, const TaskSpec& spec, Time now);
 
--- a/src/placement/progressive_filling.h
+++ b/src/placement/progressive_filling.h
@@ -9,7 +9,7 @@
 /// Computes the weighted dominant-resource fair allocation of divisible demands by progressive filling.
 class ProgressiveFilling {
  public:
-  using Amounts = std::array<double, 4>;
+  using Amounts = std::array<double, 4>;  ///< in the order of the fields of Resources
 
   /// Demand and weight of one team.
   struct Participant {
@@ -32,8 +32,11 @@
   };
 
   Team Normalise(const Participant& participant) const;
+  /// Fraction of each resource that the active teams take per unit of growth. Shares grow by growth times weight.
   static Amounts ComputeRates(const std::vector<Team>& teams);
+  /// Growth until the first team is satisfied or the first resource is exhausted.
   static double NextStep(const std::vector<Team>& teams, const Amounts& rates, const Amounts& remaining);
+  /// Deactivates teams that are satisfied or need an exhausted resource.
   static void Freeze(std::vector<Team>& teams, const Amounts& remaining);
 
   Amounts m_capacity;
--- a/src/placement/start_rate_limiter.h
+++ b/src/placement/start_rate_limiter.h
@@ -20,9 +20,10 @@
   void OnStart(Index domain, Time now);
 
  private:
+  /// Limit of one domain.
   struct Ramp {
     Time until;
-    Time next_start;
+    Time next_start;  ///< earliest time of the next start
     std::int64_t starts_per_second = 1;
   };
 
--- a/src/placement/upstream_table.h
+++ b/src/placement/upstream_table.h
@@ -91,7 +91,7 @@
   /// Number of previews that fit into an amount of free capacity.
   std::int64_t PreviewsIn(const Resources& free) const;
 
-  /// A distinct capacity and its number of upstreams, to detect impossible demands.
+  /// A capacity and the number of upstreams of a domain that have it, to detect impossible demands.
   struct Shape {
     Resources capacity;
     Index domain = 0;
--- a/src/routing/preview_gateway.h
+++ b/src/routing/preview_gateway.h
@@ -30,9 +30,10 @@
   /// Handles the reply of an owner. A reply to an attempt that is no longer open is dropped.
   void OnRunReply(const RunReply& reply);
 
+  /// Forgets a request whose caller has disconnected.
   void OnRequestGone(RequestId request);
 
-  /// Responds to all open previews with an error, because this entry restarts with a new id.
+  /// Responds to all open previews with an error, because this entry lost its lease and restarts with a new id.
   void AbandonAll();
 
   std::size_t open() const { return m_open.size(); }
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -30,12 +30,14 @@
   /// tasks does not go to a single owner.
   void AddPendingDemand(const EntryId& owner, const Resources& demand) { m_pending_demand[owner] += demand; }
 
-  /// Undoes AddPendingDemand() for a task that this entry itself, as the owner, has placed or refused.
+  /// Undoes AddPendingDemand() when a hold request is closed. Affects only this entry as the owner: the demand of other
+  /// owners is dropped with their next summary.
   void RemovePendingDemand(const EntryId& owner, const Resources& demand);
 
   void OnSummary(const EntryId& owner) { m_pending_demand.erase(owner); }
 
-  /// Owner for a durable task: the one with more free slots of two random entries.
+  /// Owner for a durable task: of two random entries where it fits, the one with more free slots. Entries where it does
+  /// not fit now are chosen only if there is no other, and those in `tried` last.
   std::optional<EntryId> ChooseForDurable(const TaskSpec& spec, const std::set<EntryId>& tried);
 
  private:
--- a/src/tasks/home_task.h
+++ b/src/tasks/home_task.h
@@ -53,12 +53,12 @@
   TaskSpec spec;
   HomeTaskPhase phase = HomeTaskPhase::kAccepting;
   std::int64_t attempt = 0;
-  EntryId owner;  ///< entry asked for a hold, or that runs the task
+  EntryId owner;  ///< entry from which a hold is requested, or that runs the task
   UpstreamId upstream;
-  DomainId domain;  ///< failure domain of the upstream
-  std::int64_t epoch = 0;
+  DomainId domain;         ///< failure domain of the upstream
+  std::int64_t epoch = 0;  ///< ownership epoch of the upstream at the hold
   std::string checkpoint;
-  std::set<EntryId> refused_by;
+  std::set<EntryId> refused_by;  ///< owners that refused a hold, timed out or failed the task; tried again last
   std::set<UpstreamId> failed_on;
   std::string wait_reason;  ///< why the task waits, for display
   std::int64_t backoff_count = 0;
--- a/src/tasks/journal_record.h
+++ b/src/tasks/journal_record.h
@@ -14,10 +14,11 @@
 
 namespace jaymast {
 
+/// State change of a task. The comments list the fields of JournalRecord that are set besides `id`.
 enum class JournalRecordKind {
   kAccepted,  ///< spec
-  kClaimed,   ///< attempt, upstream, domain, epoch, owner
-  kReleased,  ///< the claimed attempt has ended; the task is queued again and resumes from the checkpoint
+  kClaimed,   ///< owner, upstream, domain, epoch
+  kReleased,  ///< checkpoint; the claimed attempt has ended, and the task is queued again and resumes from it
   kEnded,     ///< end
 };
 
@@ -40,6 +41,8 @@
 };
 
 std::string EncodeRecords(const std::vector<JournalRecord>& records);
+
+/// @return the records, or an error with the path of an invalid field
 Result<std::vector<JournalRecord>> DecodeRecords(const std::string& text);
 
 }  // namespace jaymast
--- a/src/tasks/task_adoption.cc
+++ b/src/tasks/task_adoption.cc
@@ -106,7 +106,7 @@
       m_started_tasks.insert(id);
       Probe(task);
     } else if (task.phase == HomeTaskPhase::kQueued) {
-      // Skips gang members that were already dispatched together with another member.
+      // A gang member is no longer queued if Enqueue() of another member has dispatched the gang.
       Enqueue(task);
     }
   }
--- a/src/tasks/task_dispatch.cc
+++ b/src/tasks/task_dispatch.cc
@@ -388,7 +388,7 @@
     if (current == nullptr) return;
     if (outcome != CommitOutcome::kCommitted) {
       // The commit is retried until the store is available. Callers get the outcome now, which is safe because the
-      // runner keeps the result for the next home.
+      // runner keeps the unacknowledged result for an entry that adopts the task.
       current->is_outcome_known = true;
       NotifyWaiters(id.task);
       CheckSubmissionsOf(id.task);
--- a/src/tasks/task_journal.h
+++ b/src/tasks/task_journal.h
@@ -20,7 +20,7 @@
 /// Returns the key prefix of the journal rows of an entry.
 std::string JournalPrefix(const EntryId& home);
 
-/// Writes task records to the table in batches, one row for each batch of a flush interval.
+/// Writes task records to the table once per `journal_interval`, in batches of one row each.
 class TaskJournal {
  public:
   using Done = std::function<void(CommitOutcome)>;
--- a/src/tasks/task_manager.h
+++ b/src/tasks/task_manager.h
@@ -36,12 +36,19 @@
   void Start();
 
   /// Submits tasks of an authenticated caller. `team` must be set in each spec.
+  /// @param wait_until time of the response if tasks have no outcome by then; later if an acceptance is not committed
   void Submit(RequestId request, std::vector<TaskSpec> specs, Time wait_until);
 
   /// Submits the tasks of a confirmed plan. Idempotent by plan id. `done` gets whether all tasks were accepted.
   void SubmitForPlan(const PlanId& plan, std::vector<TaskSpec> specs, std::function<void(bool)> done);
 
+  /// Responds with the state of a task when it has an outcome, at the latest at `wait_until`. A query that is
+  /// forwarded to the home entry of the task may take a few seconds longer.
+  /// @param team only tasks of this team are found; empty for tasks of all teams
+  /// @param cancel whether to cancel the task first
   void Query(RequestId request, const TeamId& team, const TaskId& task, bool cancel, Time wait_until);
+
+  /// Forgets a request whose caller has disconnected.
   void OnRequestGone(RequestId request);
 
   void OnHoldReply(const EntryId& from, const HoldReply& reply);
@@ -50,10 +57,11 @@
   void OnQuery(const EntryId& from, const TaskQuery& query);
   void OnQueryReply(const TaskQueryReply& reply);
 
-  /// Processes the rows read under the prefix `adopt/`.
+  /// Processes the rows `adopt/<home>`, which name the entry that adopts the tasks of a former home entry. Loads tasks
+  /// that this entry adopts, and takes over those of an adopter that has left.
   void OnAdoptRows(const std::vector<Row>& rows);
 
-  /// Begins a planned shutdown: refuses new tasks, but continues those with waiting callers.
+  /// Begins a planned shutdown: new tasks are refused, accepted ones are continued until Drain().
   void StopAccepting() { m_is_closed = true; }
 
   /// Whether callers are waiting for outcomes.
@@ -74,9 +82,9 @@
     RequestId request = 0;
     std::vector<TaskId> tasks;
     std::map<TaskId, Error> refused;
-    std::size_t open_accepts = 0;
+    std::size_t open_accepts = 0;  ///< tasks whose acceptance is neither committed nor refused
     Time wait_until;
-    Time accept_by;  ///< latest response if the acceptance is not confirmed
+    Time accept_by;  ///< time of the response if an acceptance is still not committed
   };
 
   /// A caller, or a peer on behalf of a caller, that waits for one task.
@@ -101,8 +109,10 @@
   std::optional<Error> CheckAdmission(std::size_t count) const;
   void Accept(TaskSpec spec, std::uint64_t submission);
   void OnAccepted(const TaskId& task, std::uint64_t submission, CommitOutcome outcome);
+  /// Joins a task to the first one with its idempotency key at this entry.
   void AttachToFirst(const TaskId& first, const TaskId& repeated, std::uint64_t submission);
   void CloseAttached(const TaskId& first, const std::optional<Error>& refused);
+  /// Looks up the accepted task of an idempotency key in the table.
   void ResolveDuplicate(const TaskId& task, std::uint64_t submission);
   void OnDuplicate(std::uint64_t submission, const TaskId& refused, const std::string& digest, const Row& row);
   void FinishAcceptance(std::uint64_t submission);
@@ -157,6 +167,7 @@
   void ApplyRecord(const JournalRecord& record);
   void ResumeAdopted(const std::set<TaskId>& tasks);
 
+  /// Returns the task of the attempt, or nullptr if the attempt is not its current one.
   HomeTask* Find(const AttemptId& id);
   void EmitTask(EventKind kind, const HomeTask& task, const std::string& detail);
 
@@ -185,7 +196,7 @@
   std::uint64_t m_next_gang = 1;
   std::uint64_t m_next_call = 1;
   std::size_t m_open_hold_requests = 0;
-  bool m_is_closed = false;    ///< refuses new tasks
+  bool m_is_closed = false;    ///< refuses new tasks and adopts none
   bool m_is_draining = false;  ///< requests no holds
 };
 
--- a/src/tasks/task_queries.cc
+++ b/src/tasks/task_queries.cc
@@ -49,7 +49,8 @@
   m_table.Read(request, [this, call](const ReadReply& reply) {
     if (!reply.available) {
       return FailForwarded(call, kStatusUnavailable,
-                           Error{ErrorId::kStoreUnavailable, "", "the home entry of the task cannot be found"});
+                           Error{ErrorId::kStoreUnavailable, "",
+                                 "the home entry of the task cannot be looked up while the store is unavailable"});
     }
     if (reply.rows.empty()) {
       return FailForwarded(call, kStatusNotFound, Error{ErrorId::kTaskUnknown, "", "no such task"});
@@ -81,7 +82,8 @@
     const auto found = m_forwarded_queries.find(call);
     if (found == m_forwarded_queries.end()) return;
     if (m_context.Now() < found->second.wait_until + kForwardMargin) return ForwardQuery(found->second.task, call);
-    FailForwarded(call, kStatusUnavailable, Error{ErrorId::kNotServing, "", "the home entry did not answer"});
+    FailForwarded(call, kStatusUnavailable,
+                  Error{ErrorId::kNotServing, "", "the home entry of the task did not reply in time"});
   });
 }
 
--- a/src/upstream/executor.h
+++ b/src/upstream/executor.h
@@ -32,9 +32,9 @@
   using RunDone = std::function<void(const RunReply&)>;
 
   struct Hooks {
-    std::function<void(const EntryId&, const PeerMessage&)> send;  ///< to a peer or to this entry
-    std::function<void(const UpstreamId&, const FencingToken&)> on_refused;
-    std::function<void(const UpstreamId&)> on_unreachable;  ///< no reply for longer than a task lease
+    std::function<void(const EntryId&, const PeerMessage&)> send;            ///< to a peer or to this entry
+    std::function<void(const UpstreamId&, const FencingToken&)> on_refused;  ///< with the token the runner accepts
+    std::function<void(const UpstreamId&)> on_unreachable;                   ///< no reply for longer than a task lease
   };
 
   Executor(Context& context, const ConfigStore& config, const Membership& membership, Allotments& allotments,
@@ -42,7 +42,7 @@
 
   void Start();
 
-  /// Places and runs a task that needs no claim; `done` runs once.
+  /// Places and runs a preview, which needs no claim. `done` runs once.
   void Run(const RunRequest& request, const EntryId& from, RunDone done);
 
   void OnHoldRequest(const EntryId& from, const HoldRequest& request);
@@ -54,7 +54,11 @@
 
   void OnAcquired(const AcquiredUpstream& acquired);
   void OnOwnershipLost(const UpstreamId& id);
+
+  /// The owner row of an acquired upstream was committed.
   void OnCommitted(const UpstreamId& id);
+
+  /// The leases of all tasks on the upstream have expired for certain.
   void OnLeasesExpired(const UpstreamId& id);
   void PrepareAllotmentTransfer(const UpstreamId& id, const EntryId& from,
                                 const std::function<void(AllotmentTransfer)>& done);
--- a/src/upstream/executor_reports.cc
+++ b/src/upstream/executor_reports.cc
@@ -12,7 +12,8 @@
 namespace jaymast {
 namespace {
 
-/// Interval between checks for due reports, and minimum time between two reports of one runner.
+/// Interval between checks for due reports, and minimum time between two reports of one runner. A runner reports its
+/// tasks in the reply to a renewal of their leases.
 constexpr Duration kReportSweepInterval = std::chrono::milliseconds(50);
 constexpr Duration kMinReportInterval = std::chrono::milliseconds(100);
 
--- a/src/upstream/owned_task.h
+++ b/src/upstream/owned_task.h
@@ -13,7 +13,7 @@
 
 /// Phase of an attempt, as seen by the owner of its upstream.
 enum class OwnedTaskPhase {
-  kHeld,        ///< capacity is reserved until the start order arrives
+  kHeld,        ///< capacity is allocated; the start order has not arrived
   kStarting,    ///< the start request is pending
   kUnresolved,  ///< the start request has an unknown outcome
   kRunning,
@@ -27,7 +27,7 @@
   UpstreamId upstream;
   OwnedTaskPhase phase = OwnedTaskPhase::kHeld;
   bool is_preview = false;
-  bool is_from_runner = false;  ///< the runner keeps the result until it is acknowledged
+  bool is_from_runner = false;  ///< the result came from the runner, which keeps it until it is acknowledged
   bool stop_requested = false;
   StopMode stop_mode = StopMode::kStop;
   Time hold_deadline;
--- a/src/upstream/owned_upstream.h
+++ b/src/upstream/owned_upstream.h
@@ -17,17 +17,17 @@
 struct OwnedUpstream {
   UpstreamInfo info;
   std::int64_t epoch = 0;
-  std::int64_t reset_epoch = 0;
-  bool is_committed = false;  ///< the owner row names this entry
+  std::int64_t reset_epoch = 0;  ///< the runner may have forgotten tasks claimed at a lower epoch
+  bool is_committed = false;     ///< the owner row names this entry
   bool is_reachable = true;
   bool is_renewing = false;
   std::int64_t runner_now_ms = 0;  ///< the runner's clock in its last reply
   Time next_renewal;               ///< latest time of the next renewal
-  Time last_reply_at;              ///< when that reply arrived
+  Time last_reply_at;              ///< when the runner's last reply arrived
   UpstreamHealth health;
   std::set<AttemptId> tasks;
   std::set<AttemptId> acknowledged;          ///< results that the runner may drop
-  std::map<TeamId, std::int64_t> inherited;  ///< tasks that were running at the fence, per team
+  std::map<TeamId, std::int64_t> inherited;  ///< tasks found running at the acquisition, per team
 };
 
 }  // namespace jaymast
--- a/src/upstream/upstream_health.h
+++ b/src/upstream/upstream_health.h
@@ -9,6 +9,8 @@
 
 /// Circuit breaker of one upstream: ejects it after consecutive failures, admits one task after an ejection time that
 /// doubles up to a maximum, and restores it when that task succeeds.
+///
+/// A failure is a run or start request that failed. FailureAttribution evaluates the results of tasks.
 class UpstreamHealth {
  public:
   UpstreamHealth();
