--- a/src/placement/placer.h
+++ b/src/placement/placer.h
@@ -111,7 +111,7 @@
     bool keeps_headroom = false;
   };
 
-  /// Candidates found so far.
+  /// State of the search for one decision.
   struct Sample {
     std::size_t scored = 0;
     std::size_t excluded_by_headroom = 0;     ///< upstreams that fit but would use the headroom
--- a/src/upstream/executor.h
+++ b/src/upstream/executor.h
@@ -113,6 +113,7 @@
   void CallStart(const AttemptId& id, OwnedTask& task, const StartOrder& order);
   void OnStartTaskReply(const AttemptId& id, const EntryId& home, const UpstreamReply& reply);
   void RefuseWaiting(const WaitingTask& waiting);
+  /// Runs periodically: expires waiting tasks and holds, sends results again, ends ejections, and dispatches.
   void Sweep();
   void ExpireHolds();
   void SetPhase(OwnedTask& task, OwnedTaskPhase phase);
--- a/src/upstream/owned_task.h
+++ b/src/upstream/owned_task.h
@@ -33,7 +33,7 @@
   Time hold_deadline;
   Time phase_since;              ///< reports requested earlier do not reflect this phase
   std::int64_t start_by_ms = 0;  ///< on the runner's clock: an unresolved start has no effect after it
-  OverrunDeadlines overrun;      ///< deadlines for a task that runs longer than expected
+  OverrunDeadlines overrun;      ///< set when the task starts, if its run time has been learned
   OverrunAction overrun_action = OverrunAction::kNone;
   Time next_send;  ///< when to send the result again
   TaskResult result;
