--- a/src/upstream/owned_task.h
+++ b/src/upstream/owned_task.h
@@ -13,7 +13,7 @@
 
 /// Phase of an attempt, as seen by the owner of its upstream.
 enum class OwnedTaskPhase {
-  kHeld,        ///< capacity is reserved until the start order arrives
+  kHeld,        ///< capacity is allocated; the start order has not arrived
   kStarting,    ///< the start request is pending
   kUnresolved,  ///< the start request has an unknown outcome
   kRunning,
@@ -27,13 +27,13 @@
   UpstreamId upstream;
   OwnedTaskPhase phase = OwnedTaskPhase::kHeld;
   bool is_preview = false;
-  bool is_from_runner = false;  ///< the runner keeps the result until it is acknowledged
+  bool is_from_runner = false;  ///< the result came from the runner, which keeps it until it is acknowledged
   bool stop_requested = false;
   StopMode stop_mode = StopMode::kStop;
   Time hold_deadline;
   Time phase_since;              ///< reports requested earlier do not reflect this phase
   std::int64_t start_by_ms = 0;  ///< on the runner's clock: an unresolved start has no effect after it
-  OverrunDeadlines overrun;      ///< deadlines for a task that runs longer than expected
+  OverrunDeadlines overrun;      ///< set when the task starts, if its run time has been learned
   OverrunAction overrun_action = OverrunAction::kNone;
   Time next_send;  ///< when to send the result again
   TaskResult result;
