--- a/src/base/field_reader.h
+++ b/src/base/field_reader.h
@@ -48,11 +48,12 @@
  private:
   static constexpr std::size_t kMaxEnumLength = 64;
 
+  /// Returns the field, or nullptr when it is missing, and marks the name as read.
   const boost::json::value* Find(std::string_view name);
 
   const boost::json::object& m_object;
   std::string m_path;
-  std::set<std::string, std::less<>> m_read;
+  std::set<std::string, std::less<>> m_read;  ///< names passed to Find(); RejectUnknown() accepts only these
   std::optional<Error> m_error;
 };
 
--- a/src/base/resources.h
+++ b/src/base/resources.h
@@ -9,7 +9,7 @@
   std::int64_t cpu_millis = 0;  ///< thousandths of a processor core
   std::int64_t memory_mb = 0;   ///< mebibytes
   std::int64_t accelerators = 0;
-  std::int64_t slots = 0;
+  std::int64_t slots = 0;  ///< places for concurrent tasks; a submitted task takes at least one
 
   Resources& operator+=(const Resources& other) {
     cpu_millis += other.cpu_millis;
--- a/src/configuration/config_store.cc
+++ b/src/configuration/config_store.cc
@@ -50,7 +50,7 @@
 }
 
 Result<Principal> ConfigStore::Authenticate(const std::string& secret) const {
-  if (secret.empty()) return Error{ErrorId::kKeyMissing, "Authorization", "no bearer key"};
+  if (secret.empty()) return Error{ErrorId::kKeyMissing, "Authorization", "expected a bearer key, got none"};
   const std::string hash = Sha256Hex(secret);
   std::optional<Principal> found;
   // All keys are compared in constant time, so that the response time reveals nothing about them.
--- a/src/configuration/plan_service.cc
+++ b/src/configuration/plan_service.cc
@@ -48,7 +48,7 @@
   }
   plan.base_version = version->get_int64();
   for (const json::value& value : intents->get_array()) {
-    if (!value.is_object()) return Error{ErrorId::kInputField, "plan/intents", "expected objects"};
+    if (!value.is_object()) return Error{ErrorId::kInputField, "plan/intents", "expected an array of objects"};
     Result<Intent> intent = IntentFromJson(value.get_object(), "plan/intents");
     if (!intent) return intent.error();
     plan.intents.push_back(std::move(*intent));
--- a/src/configuration/plan_service.h
+++ b/src/configuration/plan_service.h
@@ -55,7 +55,7 @@
  private:
   struct PendingConfirmation {
     RequestId request = 0;
-    std::int64_t version = 0;
+    std::int64_t version = 0;  ///< configuration version that all entries have to acknowledge
     Time respond_by;
   };
 
@@ -76,7 +76,7 @@
   TaskManager& m_tasks;
   Hooks m_hooks;
   std::map<RequestId, PendingConfirmation> m_pending_confirmations;
-  std::set<PlanId> m_submitting;
+  std::set<PlanId> m_submitting;  ///< confirmed plans whose tasks are being submitted
   std::uint64_t m_next_plan = 1;
   int m_open_transactions = 0;
   bool m_checking = false;
--- a/src/configuration/planner.cc
+++ b/src/configuration/planner.cc
@@ -149,7 +149,7 @@
   if (fits || instances.upstreams.empty()) return std::nullopt;
   const auto impossible = [](const char* name, std::int64_t wanted, std::int64_t most) {
     return Error{ErrorId::kDemandImpossible, fmt::format("/demand/{}", name),
-                 fmt::format("{} wanted, the largest upstream has {}", wanted, most)};
+                 fmt::format("the demand is {}, the largest upstream has {}", wanted, most)};
   };
   if (demand.cpu_millis > largest.cpu_millis) return impossible("cpu_millis", demand.cpu_millis, largest.cpu_millis);
   if (demand.memory_mb > largest.memory_mb) return impossible("memory_mb", demand.memory_mb, largest.memory_mb);
@@ -157,7 +157,7 @@
     return impossible("accelerators", demand.accelerators, largest.accelerators);
   }
   if (demand.slots > largest.slots) return impossible("slots", demand.slots, largest.slots);
-  return Error{ErrorId::kDemandImpossible, "/demand", "no single upstream has this combination"};
+  return Error{ErrorId::kDemandImpossible, "/demand", "no single upstream has the demanded combination of resources"};
 }
 
 }  // namespace jaymast
--- a/src/core/effects.h
+++ b/src/core/effects.h
@@ -32,7 +32,7 @@
   virtual void Read(const ReadRequest& request, ReadCallback done) = 0;
   virtual void Lookup(const TransactionId& id, LookupCallback done) = 0;
 
-  /// Sets the address (IP number and port) of a peer. Called before the first SendPeer() to it.
+  /// Sets the address (IP address and port) of a peer. Called before the first SendPeer() to it.
   virtual void ConnectPeer(const EntryId& peer, const std::string& address) = 0;
   virtual void DisconnectPeer(const EntryId& peer) = 0;
   virtual void SendPeer(const EntryId& peer, const PeerMessage& message) = 0;
--- a/src/core/entry_core.h
+++ b/src/core/entry_core.h
@@ -47,6 +47,8 @@
   std::optional<Time> NextDeadline() const;
 
   const EntryId& id() const;
+
+  /// Whether this entry serves and has a configuration.
   bool IsReady() const;
   bool IsStopped() const;
 
--- a/src/core/entry_node.cc
+++ b/src/core/entry_node.cc
@@ -15,23 +15,25 @@
 
 /// Interval between reads of the entry records of all failure domains. The records of the own domain are read with each
 /// renewal. Reads run on the renewal timer, so the actual interval is up to one renewal interval longer. It must stay
-/// below the 5.5 s after which an entry of another domain tries to expire an unchanged record; otherwise every live
-/// record would be tried.
+/// below the 5.5 s (lease, drift bound and kOtherDomainDelay) after which an entry of another domain tries to expire a
+/// record that it has not seen change; otherwise it would try to expire live records.
 constexpr Duration kFullReadInterval = std::chrono::seconds(4);
 
 /// As kFullReadInterval, for clusters of at most kMaxPeersForFullBroadcast peers.
 constexpr Duration kSmallClusterFullReadInterval = std::chrono::seconds(1);
 
-/// Delay from finding that a holder of allotments has left until its allotments are reclaimed. An owner that the holder
-/// fenced during an outage has noticed by then and has fenced the holder in turn.
+/// Delay from finding that a holder of allotments has left until its allotments are reclaimed. If the holder fenced
+/// an upstream of another owner during an outage of the store, that owner has noticed by then and has fenced it again.
 constexpr Duration kReclaimDelay = std::chrono::seconds(5);
 
-/// Owner rows of a failure domain read per renewal interval, which bounds the read traffic of large domains.
+/// Average number of owner rows read per renewal interval. All rows of a failure domain are read at once, so a domain
+/// with more rows is read less often, which bounds its read traffic.
 constexpr std::int64_t kOwnerRowsPerInterval = 64;
 
 /// Time after which a recovering entry serves even if some of its upstreams have not replied.
 constexpr Duration kRecoverTimeout = std::chrono::seconds(3);
 
+/// Interval between checks whether the lifecycle can advance.
 constexpr Duration kAdvanceInterval = std::chrono::milliseconds(100);
 
 /// Peers in other failure domains, drawn at random, that get a heartbeat each interval.
@@ -129,7 +131,7 @@
   event.domain = m_context.settings.domain;
   event.detail = std::string(ToString(state));
   m_effects.Emit(event);
-  // Peers choose owners by the state in this record.
+  // Peers choose owners by the state in the lease record.
   if (m_started && state != EntryState::kStopped && state != EntryState::kIsolated) m_membership.Renew();
 }
 
--- a/src/core/entry_requests.cc
+++ b/src/core/entry_requests.cc
@@ -107,7 +107,8 @@
     return Reject(id, kStatusUnavailable, Error{ErrorId::kNotServing, "", "this entry is not accepting new work"});
   }
   if (m_previews.open() >= static_cast<std::size_t>(m_context.settings.max_open_requests)) {
-    return Reject(id, kStatusUnavailable, Error{ErrorId::kQueueFull, "", "too many open previews"});
+    return Reject(id, kStatusUnavailable,
+                  Error{ErrorId::kQueueFull, "", "this entry has the maximum number of open previews"});
   }
   spec.id = TaskId(fmt::format("{}-v{}", m_context.self.value(), m_next_preview++));
   m_previews.Submit(id, std::move(spec), request.deadline);
@@ -135,6 +136,7 @@
 void EntryNode::Serve(RequestId id, const TaskStatusRequest& request) {
   const std::optional<Principal> principal = Authenticate(id, request.secret, Role::kSubmitter);
   if (!principal) return;
+  // With an empty team, the query finds tasks of all teams.
   const TeamId team = principal->role == Role::kOperator ? TeamId() : principal->team;
   m_tasks.Query(id, team, request.task, false, request.wait_until);
 }
--- a/src/core/event.h
+++ b/src/core/event.h
@@ -13,17 +13,17 @@
 
 /// Kinds of timeline events. Their names appear in event logs and are stable.
 enum class EventKind {
-  kEntryState,        ///< detail: lifecycle state
+  kEntryState,        ///< other: the entry; domain; detail: lifecycle state
   kEntryExpired,      ///< other: the expired entry
   kLeaseRenewed,      ///< config_version: acknowledged version
   kOwnerClaimed,      ///< upstream, epoch
   kOwnerFenced,       ///< upstream, epoch; the upstream becomes usable
   kOwnerReleased,     ///< upstream, epoch
   kConfigInstalled,   ///< config_version
-  kConfigCommitted,   ///< config_version; detail: summary of the change
+  kConfigCommitted,   ///< config_version; detail: plan id
   kConfigAccepted,    ///< config_version
-  kRequestReceived,   ///< request, team
-  kReplySent,         ///< request, verdict; detail: status and digest of the body
+  kRequestReceived,   ///< request, team, config_version; detail: key id
+  kReplySent,         ///< request, verdict; detail: status, digest of the body, and error id if any
   kTaskAccepted,      ///< task, team
   kTaskClaimed,       ///< task, attempt, upstream, epoch
   kTaskRetried,       ///< task, attempt; detail: reason
@@ -33,8 +33,8 @@
   kUpstreamEjected,   ///< upstream; detail: reason
   kUpstreamRestored,  ///< upstream
   kAllotmentChanged,  ///< team, amount
-  kKeyRefused,        ///< detail: reason
-  kPlanMade,          ///< detail: plan id
+  kKeyRefused,        ///< request, config_version; detail: error id
+  kPlanMade,          ///< config_version: base version; detail: plan id
   kRunnerStarted,     ///< emitted by runners; task, attempt, team, upstream, domain, epoch; amount: slots in use
   kRunnerEnded,       ///< emitted by runners; task, attempt, upstream; detail: state
   kRunnerRefused,     ///< emitted by runners; task, attempt, upstream, epoch; detail: reason
--- a/src/core/peer_message.h
+++ b/src/core/peer_message.h
@@ -28,7 +28,7 @@
 
 /// Asks an owner to place and run a task that needs no claim in the table.
 struct RunRequest {
-  std::uint64_t call = 0;
+  std::uint64_t call = 0;  ///< number chosen by the sender and repeated in the reply
   TaskSpec spec;
   std::int64_t attempt = 0;
   std::int64_t remaining_ms = 0;    ///< time left until the caller's deadline
@@ -122,7 +122,7 @@
   std::int64_t amount = 0;
 };
 
-/// Asks the home entry for the state of a task.
+/// Asks the home entry for the state of a task, and to cancel the task if `cancel` is set.
 struct TaskQuery {
   std::uint64_t call = 0;
   TaskId task;
--- a/src/core/table.h
+++ b/src/core/table.h
@@ -12,7 +12,8 @@
 
 namespace jaymast {
 
-/// One row of the table service. Its version is the number of the transaction that wrote it.
+/// One row of the table service, the transactional store that all entries share. Errors, lifecycle events and views
+/// call the service "store". The version of a row is the number of the transaction that wrote it.
 struct Row {
   std::string key;
   std::string value;
--- a/src/core/table_client.h
+++ b/src/core/table_client.h
@@ -10,7 +10,7 @@
 
 namespace jaymast {
 
-/// Final outcome of a transaction.
+/// Final outcome of a transaction, known after a lookup if the reply was lost.
 enum class CommitOutcome {
   kCommitted,
   kConflict,
@@ -31,7 +31,7 @@
   explicit TableClient(Context& context);
 
   /// Commits a transaction. If the reply is lost, `done` is called when a lookup by the transaction id succeeds.
-  /// @param on_unknown called each time that a reply is lost, if set
+  /// @param on_unknown called when the reply to the commit is lost, and each time that a lookup fails, if set
   void Commit(std::vector<Condition> conditions, std::vector<Write> writes, CommitDone done,
               std::function<void()> on_unknown = nullptr);
 
--- a/src/core/upstream_protocol.h
+++ b/src/core/upstream_protocol.h
@@ -37,7 +37,8 @@
   FencingToken token;
 };
 
-/// Runs a task and waits for its output. Refused, without running the task, after `start_by_ms` on the runner's clock.
+/// Runs a task and waits for its output. `home` is the entry that accepted or adopted the task. Refused, without
+/// running the task, after `start_by_ms` on the runner's clock.
 struct RunTaskRequest {
   FencingToken token;
   TaskSpec spec;
@@ -64,6 +65,7 @@
   std::vector<AttemptId> acknowledged;
 };
 
+/// What a stop request does to a task. kThrottle lets it run on with fewer resources.
 enum class StopMode { kStop, kCheckpoint, kThrottle };
 
 template <>
--- a/src/limits/allotments.cc
+++ b/src/limits/allotments.cc
@@ -21,12 +21,13 @@
 /// task do not claim the whole limit.
 constexpr std::int64_t kRaiseStep = 8;
 
-/// Number of prewarm intervals without a raise after which a row is read again.
+/// Every this many prewarm intervals that need no raise, the row of the current team is read again.
 constexpr std::uint64_t kRefreshTicks = 5;
 
 /// Base delay before a conflicting update is retried. Without it, holders of one row would conflict repeatedly.
 constexpr Duration kConflictBackoff = std::chrono::milliseconds(10);
 
+/// Interval between updates of base allotments. Each updates one team; the teams take turns.
 constexpr Duration kPrewarmInterval = std::chrono::milliseconds(200);
 
 constexpr std::string_view kRowPrefix = "allot/";
--- a/src/limits/allotments.h
+++ b/src/limits/allotments.h
@@ -57,10 +57,10 @@
   /// allotment which moves with them is not used twice.
   void RetainUsage(const UpstreamId& upstream, const std::map<TeamId, std::int64_t>& counts);
 
-  /// Stops counting the tasks of a former upstream: its new owner holds their allotments.
+  /// Stops counting the tasks of an upstream passed to RetainUsage(): its new owner holds their allotments.
   void OnTransferred(const UpstreamId& upstream);
 
-  /// Stops counting the tasks of a former upstream at once: it was acquired again or removed.
+  /// Stops counting the tasks of an upstream passed to RetainUsage() at once: it was acquired again or removed.
   void DropRetainedUsage(const UpstreamId& upstream);
 
   /// Returns part of the unused allotment to the pool on request of another entry.
@@ -83,8 +83,8 @@
     std::int64_t row_version = 0;
     std::int64_t used = 0;
     std::int64_t wanted = 0;  ///< starts refused since the last adjustment because the allotment was used up
-    bool adjusting = false;
-    Time next_request;  ///< earliest time of the next request to other holders
+    bool adjusting = false;   ///< an update of the row is pending
+    Time next_request;        ///< earliest time of the next request to other holders
   };
   /// Tasks that are still counted here and run on an upstream which this entry no longer owns.
   struct RetainedUsage {
@@ -95,7 +95,9 @@
   /// Changes the holders. Returns false when there is nothing to write.
   using Change = std::function<bool(Holders& holders)>;
 
+  /// Raises the own allotment, unless an update of the row is pending.
   void Adjust(const TeamId& team);
+  /// Reads the row and commits the changed holders.
   void Update(const TeamId& team, Change change);
   void CommitUpdate(const TeamId& team, const Change& change);
   void OnCommitted(const TeamId& team, const Holders& holders, std::int64_t version);
--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -235,6 +235,7 @@
   double best_score = 0;
   for (const auto& [id, peer] : m_peers) {
     if (peer.record.state != EntryState::kServing || !HasRecentHeartbeat(id)) continue;
+    // A peer of the own failure domain is almost always preferred.
     const double weight = peer.record.domain == m_context.settings.domain ? 1e6 : 1.0;
     const double score = RendezvousScore(m_context.self.value(), id.value(), weight);
     if (score <= best_score) continue;
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -21,7 +21,7 @@
 /// Another entry, as last read from its lease record and its heartbeats.
 struct Peer {
   EntryRecord record;
-  std::int64_t version = 0;
+  std::int64_t version = 0;    ///< version of the row of the record
   Time expires_at;             ///< earliest time to expire the record if it stays unchanged
   bool is_expiring = false;    ///< a transaction that expires the record is pending
   Time heartbeat_valid_until;  ///< when the last heartbeat stops counting
@@ -99,6 +99,7 @@
   Duration ExpiryDelay(const EntryId& id, const Peer& peer) const;
   void Expire(const EntryId& id, std::int64_t version);
   bool RemoveAbsentPeers(const std::string& prefix, const std::vector<Row>& rows);
+  /// The peer that adopts the tasks of this entry, or an empty id when no peer serves.
   EntryId Successor() const;
 
   Context& m_context;
--- a/src/model/codec.cc
+++ b/src/model/codec.cc
@@ -91,7 +91,7 @@
   const json::object* teams = reader.Object("teams");
   if (teams == nullptr) return;
   for (const auto& [name, value] : *teams) {
-    if (!value.is_object()) return reader.Fail("teams", "expected objects");
+    if (!value.is_object()) return reader.Fail("teams", "expected an object for each team");
     FieldReader fields(value.get_object(), path + "/teams/" + std::string(name));
     const Result<Team> team = Finish(fields, ReadTeam(fields));
     if (!team) return reader.Fail("teams", team.error().path + ": " + team.error().reason);
@@ -103,7 +103,7 @@
   const json::object* keys = reader.Object("keys");
   if (keys == nullptr) return;
   for (const auto& [name, value] : *keys) {
-    if (!value.is_object()) return reader.Fail("keys", "expected objects");
+    if (!value.is_object()) return reader.Fail("keys", "expected an object for each key");
     FieldReader fields(value.get_object(), path + "/keys/" + std::string(name));
     const Result<ApiKey> key = Finish(fields, ReadKey(fields));
     if (!key) return reader.Fail("keys", key.error().path + ": " + key.error().reason);
@@ -258,7 +258,7 @@
   const json::array* upstreams = reader.Array("upstreams");
   if (upstreams == nullptr) return Error{ErrorId::kInputField, path + "/upstreams", "required array"};
   for (const json::value& value : *upstreams) {
-    if (!value.is_object()) return Error{ErrorId::kInputField, path + "/upstreams", "expected objects"};
+    if (!value.is_object()) return Error{ErrorId::kInputField, path + "/upstreams", "expected an array of objects"};
     const std::string item_path = fmt::format("{}/upstreams/{}", path, list.upstreams.size());
     FieldReader fields(value.get_object(), item_path);
     Result<UpstreamInfo> info = Finish(fields, ReadUpstream(fields, item_path));
--- a/src/model/path.cc
+++ b/src/model/path.cc
@@ -14,7 +14,7 @@
 
 Result<std::vector<std::string>> SplitPath(std::string_view target) {
   std::string_view rest = target.substr(0, target.find('?'));
-  const Error error{ErrorId::kRouteUnknown, std::string(target), "malformed path"};
+  const Error error{ErrorId::kRouteUnknown, std::string(target), "expected an absolute path of percent-encoded UTF-8"};
   if (!rest.starts_with('/')) return error;
   std::vector<std::string> segments;
   while (!rest.empty()) {
--- a/src/model/plan.h
+++ b/src/model/plan.h
@@ -20,10 +20,10 @@
   ClusterConfig target;                     ///< configuration after confirmation
   std::vector<std::string> starts;          ///< tasks that will start
   std::vector<std::string> moves;           ///< tasks that will be checkpointed and moved
-  std::vector<std::string> stops;           ///< tasks that will be stopped
+  std::vector<std::string> stops;           ///< teams that run more tasks than the new limit; nothing is stopped
   std::vector<std::string> refusals;        ///< intents or tasks that will be refused, with the reason
   std::map<DomainId, Resources> capacity;   ///< usable capacity per failure domain after confirmation
-  std::map<TeamId, std::int64_t> headroom;  ///< limit minus running tasks, per team, after confirmation
+  std::map<TeamId, std::int64_t> headroom;  ///< new limit minus running tasks known to the planner, per team
 };
 
 }  // namespace jaymast
--- a/src/ownership/ownership.h
+++ b/src/ownership/ownership.h
@@ -42,7 +42,7 @@
     std::function<void(const AcquiredUpstream&)> on_acquired;
     /// This entry no longer owns the upstream.
     std::function<void(const UpstreamId&)> on_ownership_lost;
-    /// The new owner of a former upstream holds the allotments for the tasks that run there.
+    /// The new owner of an upstream that this entry owned before holds the allotments of the tasks that run there.
     std::function<void(const UpstreamId&)> on_allotments_transferred;
     /// Prepares the transfer of the allotments from `from`. The callback does not run when the store cannot be read.
     std::function<void(const UpstreamId&, const EntryId& from, std::function<void(AllotmentTransfer)>)>
@@ -70,8 +70,8 @@
   /// Handles a runner's refusal: another owner has fenced it, or it restarted.
   void OnRefused(const UpstreamId& id, const FencingToken& current);
 
-  /// Expires the task leases of a runner that has not replied for longer than a lease. A committed higher epoch proves
-  /// that no other owner has renewed them; then `on_leases_expired` is called.
+  /// Expires the task leases of a runner that has not replied for longer than a lease, by claiming the upstream again.
+  /// If the claim commits, no other owner can have renewed the leases, and `on_leases_expired` is called.
   void ExpireTaskLeases(const UpstreamId& id);
 
   /// Hands all upstreams over for a planned stop.
@@ -101,11 +101,11 @@
   struct Upstream {
     UpstreamInfo info;
     bool is_listed = false;
-    Time remove_at;  ///< when an upstream that left the list is removed
-    OwnerRecord row;
+    Time remove_at;   ///< when an upstream that left the list is removed
+    OwnerRecord row;  ///< last known value of the owner row
     std::int64_t row_version = 0;
     Phase phase = Phase::kNone;
-    std::int64_t epoch = 0;
+    std::int64_t epoch = 0;  ///< epoch of this entry's last claim, which `row` may not show yet
     std::int64_t reset_epoch = 0;
     std::int64_t reported_epoch = 0;  ///< highest epoch that the runner reported
     bool is_committed = false;        ///< the row names this entry at `epoch`
@@ -126,6 +126,7 @@
   void Fence(const UpstreamId& id, Upstream& upstream);
   void OnFenced(const UpstreamId& id, std::int64_t epoch, const UpstreamReply& reply);
   void Acquire(const UpstreamId& id, Upstream& upstream, const UpstreamReply& reply);
+  /// Records a fence in the owner row, together with the transfer of the allotments.
   void CommitFenced(const UpstreamId& id);
   void CommitTransfer(const UpstreamId& id, std::int64_t epoch, AllotmentTransfer transfer);
   void HandOver(const UpstreamId& id, Upstream& upstream, const EntryId& to);
