--- a/src/configuration/plan_service.cc
+++ b/src/configuration/plan_service.cc
@@ -229,14 +229,14 @@
 }
 
 std::vector<EntryId> PlanService::FindEntriesOnOlderConfig(const std::vector<Row>& rows, std::int64_t version) const {
-  std::set<EntryId> missing;
+  std::set<EntryId> lagging;
   std::set<EntryId> present;
   for (const Row& row : rows) {
     if (!row.key.starts_with(kEntryPrefix)) continue;
     const EntryId id(row.key.substr(kEntryPrefix.size()));
     present.insert(id);
     const Result<EntryRecord> record = DecodeEntryRecord(row.value);
-    if (!record || record->config_version < version) missing.insert(id);
+    if (!record || record->config_version < version) lagging.insert(id);
   }
   for (const Row& row : rows) {
     if (!row.key.starts_with(kOwnerPrefix)) continue;
@@ -244,10 +244,10 @@
     if (!record) continue;
     // An entry without a lease record may still start tasks on upstreams that no other entry has fenced.
     for (const EntryId& id : {record->owner, record->covered_by}) {
-      if (!id.empty() && !present.contains(id)) missing.insert(id);
+      if (!id.empty() && !present.contains(id)) lagging.insert(id);
     }
   }
-  return {missing.begin(), missing.end()};
+  return {lagging.begin(), lagging.end()};
 }
 
 void PlanService::CheckAcknowledgements() {
@@ -274,9 +274,9 @@
 }
 
 void PlanService::RespondToConfirmation(const PendingConfirmation& pending, const std::vector<EntryId>& not_in_force) {
-  json::array missing;
+  json::array lagging;
   for (const EntryId& id : not_in_force) {
-    missing.emplace_back(json::object{{"entry", id.value()}, {"domain", DomainOf(id).value()}});
+    lagging.emplace_back(json::object{{"entry", id.value()}, {"domain", DomainOf(id).value()}});
   }
   const bool is_accepted = not_in_force.empty();
   if (is_accepted) {
@@ -289,7 +289,7 @@
   response.status = is_accepted ? kStatusOk : kStatusAccepted;
   response.verdict = Verdict::kRan;
   response.body = json::serialize(
-      json::object{{"accepted", is_accepted}, {"version", pending.version}, {"not_in_force", std::move(missing)}});
+      json::object{{"accepted", is_accepted}, {"version", pending.version}, {"not_in_force", std::move(lagging)}});
   m_context.effects.Reply(pending.request, response);
 }
 
--- a/src/core/entry_node.cc
+++ b/src/core/entry_node.cc
@@ -145,25 +145,25 @@
   m_is_read_pending = true;
   const Time now = m_context.Now();
   const bool is_full = now >= m_next_full_read;
-  const bool has_owners = now >= m_next_owner_read;
+  const bool reads_owners = now >= m_next_owner_read;
   ReadRequest request;
   request.keys.emplace_back(kConfigKey);
   request.prefixes.emplace_back(kAdoptPrefix);
   request.prefixes.emplace_back(kConfirmedPrefix);
   const std::string own_prefix = std::string(kEntryPrefix) + m_context.settings.domain.value() + ".";
   request.prefixes.push_back(is_full ? std::string(kEntryPrefix) : own_prefix);
-  if (has_owners) request.prefixes.push_back(OwnerPrefix(m_context.settings.domain));
+  if (reads_owners) request.prefixes.push_back(OwnerPrefix(m_context.settings.domain));
   const std::set<EntryId> absent = m_allotments.HoldersWithoutLease();
-  m_table.Read(request, [this, is_full, has_owners, absent](const ReadReply& reply) {
+  m_table.Read(request, [this, is_full, reads_owners, absent](const ReadReply& reply) {
     m_is_read_pending = false;
     if (!reply.available) m_membership.OnReadFailed();
-    if (reply.available) OnTableRead(is_full, has_owners, reply);
-    if (reply.available && has_owners && IsServing()) ReclaimAllotments(absent);
+    if (reply.available) OnTableRead(is_full, reads_owners, reply);
+    if (reply.available && reads_owners && IsServing()) ReclaimAllotments(absent);
     m_ownership.Reconcile();
   });
 }
 
-void EntryNode::OnTableRead(bool is_full, bool has_owners, const ReadReply& reply) {
+void EntryNode::OnTableRead(bool is_full, bool reads_owners, const ReadReply& reply) {
   const Time now = m_context.Now();
   const std::vector<Row> config = RowsWithPrefix(reply.rows, kConfigKey);
   bool has_config = false;
@@ -178,7 +178,7 @@
   const bool changed = m_membership.OnRows(prefix, RowsWithPrefix(reply.rows, prefix));
   const bool is_small = m_membership.peers().size() <= kMaxPeersForFullBroadcast;
   if (is_full) m_next_full_read = now + (is_small ? kSmallClusterFullReadInterval : kFullReadInterval);
-  if (has_owners) {
+  if (reads_owners) {
     const std::vector<Row> owners = RowsWithPrefix(reply.rows, OwnerPrefix(m_context.settings.domain));
     const std::int64_t intervals = 1 + static_cast<std::int64_t>(owners.size()) / kOwnerRowsPerInterval;
     m_next_owner_read = now + m_context.settings.renew_interval * (intervals - 1);
--- a/src/core/entry_node.h
+++ b/src/core/entry_node.h
@@ -71,7 +71,7 @@
 
   void PollTable();
   void ReadTable();
-  void OnTableRead(bool is_full, bool has_owners, const ReadReply& reply);
+  void OnTableRead(bool is_full, bool reads_owners, const ReadReply& reply);
   void OnConfigMissing();
   void OnConfigInstalled();
   void OnStateChange(EntryState state);
--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -122,8 +122,8 @@
     if (id == m_context.self) continue;
     const Result<EntryRecord> record = DecodeEntryRecord(row.value);
     if (!record) continue;
-    const auto [entry, inserted] = m_peers.try_emplace(id);
-    Peer& peer = entry->second;
+    const auto [it, inserted] = m_peers.try_emplace(id);
+    Peer& peer = it->second;
     changed = changed || inserted || peer.record.state != record->state;
     if (inserted) m_context.effects.ConnectPeer(id, record->peer_address);
     if (peer.version >= row.version) continue;
--- a/src/ownership/ownership.cc
+++ b/src/ownership/ownership.cc
@@ -47,13 +47,13 @@
     if (!record) continue;
     upstream.row = *record;
     upstream.row_version = row.version;
-    OnOwnRowChanged(id, upstream);
+    DropIfTakenOver(id, upstream);
     if (record->IsFenced() && record->covered_by != m_context.self) m_hooks.on_allotments_transferred(id);
   }
   Reconcile();
 }
 
-void Ownership::OnOwnRowChanged(const UpstreamId& id, Upstream& upstream) {
+void Ownership::DropIfTakenOver(const UpstreamId& id, Upstream& upstream) {
   const bool is_active = upstream.phase == Phase::kOwned || upstream.phase == Phase::kFencing;
   if (!is_active || upstream.row.owner == m_context.self) return;
   if (upstream.row.epoch >= upstream.epoch) DropOwnership(id, upstream);
--- a/src/ownership/ownership.h
+++ b/src/ownership/ownership.h
@@ -131,7 +131,7 @@
   void CommitTransfer(const UpstreamId& id, std::int64_t epoch, AllotmentTransfer transfer);
   void HandOver(const UpstreamId& id, Upstream& upstream, const EntryId& to);
   void DropOwnership(const UpstreamId& id, Upstream& upstream);
-  void OnOwnRowChanged(const UpstreamId& id, Upstream& upstream);
+  void DropIfTakenOver(const UpstreamId& id, Upstream& upstream);
   bool IsRecorded(const Upstream& upstream) const;
   void RemoveUnlisted();
   void Remove(const UpstreamId& id, const Upstream& upstream);
