--- a/src/core/upstream_protocol.h
+++ b/src/core/upstream_protocol.h
@@ -37,8 +37,8 @@
   FencingToken token;
 };
 
-/// Runs a task and waits for its output. `home` is the entry that accepted or adopted the task. Refused, without
-/// running the task, after `start_by_ms` on the runner's clock.
+/// Runs a task and waits for its output. `home` is the entry that accepted the task. Refused, without running the task,
+/// after `start_by_ms` on the runner's clock.
 struct RunTaskRequest {
   FencingToken token;
   TaskSpec spec;
@@ -47,7 +47,8 @@
   std::int64_t start_by_ms = 0;
 };
 
-/// Starts a task under a lease that ends at `lease_until_ms` on the runner's clock.
+/// Starts a task under a lease that ends at `lease_until_ms` on the runner's clock. `home` is the entry that accepted
+/// or adopted the task.
 struct StartTaskRequest {
   FencingToken token;
   TaskSpec spec;
--- a/src/ownership/ownership.h
+++ b/src/ownership/ownership.h
@@ -105,7 +105,7 @@
     OwnerRecord row;  ///< last known value of the owner row
     std::int64_t row_version = 0;
     Phase phase = Phase::kNone;
-    std::int64_t epoch = 0;  ///< epoch of this entry's last claim, which `row` may not show yet
+    std::int64_t epoch = 0;  ///< epoch of this entry's last claim or fence; `row` may not show it yet
     std::int64_t reset_epoch = 0;
     std::int64_t reported_epoch = 0;  ///< highest epoch that the runner reported
     bool is_committed = false;        ///< the row names this entry at `epoch`
