--- a/src/core/entry_node.cc
+++ b/src/core/entry_node.cc
@@ -15,23 +15,25 @@
 
 /// Interval between reads of the entry records of all failure domains. The records of the own domain are read with each
 /// renewal. Reads run on the renewal timer, so the actual interval is up to one renewal interval longer. It must stay
-/// below the 5.5 s after which an entry of another domain tries to expire an unchanged record; otherwise every live
-/// record would be tried.
+/// below the 5.5 s (lease, drift bound and kOtherDomainDelay) after which an entry of another domain tries to expire a
+/// record that it has not seen change; otherwise it would try to expire live records.
 constexpr Duration kFullReadInterval = std::chrono::seconds(4);
 
 /// As kFullReadInterval, for clusters of at most kMaxPeersForFullBroadcast peers.
 constexpr Duration kSmallClusterFullReadInterval = std::chrono::seconds(1);
 
-/// Delay from finding that a holder of allotments has left until its allotments are reclaimed. An owner that the holder
-/// fenced during an outage has noticed by then and has fenced the holder in turn.
+/// Delay from finding that a holder of allotments has left until its allotments are reclaimed. If the holder fenced
+/// an upstream of another owner during an outage of the store, that owner has noticed by then and has fenced it again.
 constexpr Duration kReclaimDelay = std::chrono::seconds(5);
 
-/// Owner rows of a failure domain read per renewal interval, which bounds the read traffic of large domains.
+/// Average number of owner rows read per renewal interval. All rows of a failure domain are read at once, so a domain
+/// with more rows is read less often, which bounds its read traffic.
 constexpr std::int64_t kOwnerRowsPerInterval = 64;
 
 /// Time after which a recovering entry serves even if some of its upstreams have not replied.
 constexpr Duration kRecoverTimeout = std::chrono::seconds(3);
 
+/// Interval between checks whether the lifecycle can advance.
 constexpr Duration kAdvanceInterval = std::chrono::milliseconds(100);
 
 /// Peers in other failure domains, drawn at random, that get a heartbeat each interval.
@@ -129,7 +131,7 @@
   event.domain = m_context.settings.domain;
   event.detail = std::string(ToString(state));
   m_effects.Emit(event);
-  // Peers choose owners by the state in this record.
+  // Peers choose owners by the state in the lease record.
   if (m_started && state != EntryState::kStopped && state != EntryState::kIsolated) m_membership.Renew();
 }
 
@@ -143,25 +145,25 @@
   m_is_read_pending = true;
   const Time now = m_context.Now();
   const bool is_full = now >= m_next_full_read;
-  const bool has_owners = now >= m_next_owner_read;
+  const bool reads_owners = now >= m_next_owner_read;
   ReadRequest request;
   request.keys.emplace_back(kConfigKey);
   request.prefixes.emplace_back(kAdoptPrefix);
   request.prefixes.emplace_back(kConfirmedPrefix);
   const std::string own_prefix = std::string(kEntryPrefix) + m_context.settings.domain.value() + ".";
   request.prefixes.push_back(is_full ? std::string(kEntryPrefix) : own_prefix);
-  if (has_owners) request.prefixes.push_back(OwnerPrefix(m_context.settings.domain));
+  if (reads_owners) request.prefixes.push_back(OwnerPrefix(m_context.settings.domain));
   const std::set<EntryId> absent = m_allotments.HoldersWithoutLease();
-  m_table.Read(request, [this, is_full, has_owners, absent](const ReadReply& reply) {
+  m_table.Read(request, [this, is_full, reads_owners, absent](const ReadReply& reply) {
     m_is_read_pending = false;
     if (!reply.available) m_membership.OnReadFailed();
-    if (reply.available) OnTableRead(is_full, has_owners, reply);
-    if (reply.available && has_owners && IsServing()) ReclaimAllotments(absent);
+    if (reply.available) OnTableRead(is_full, reads_owners, reply);
+    if (reply.available && reads_owners && IsServing()) ReclaimAllotments(absent);
     m_ownership.Reconcile();
   });
 }
 
-void EntryNode::OnTableRead(bool is_full, bool has_owners, const ReadReply& reply) {
+void EntryNode::OnTableRead(bool is_full, bool reads_owners, const ReadReply& reply) {
   const Time now = m_context.Now();
   const std::vector<Row> config = RowsWithPrefix(reply.rows, kConfigKey);
   bool has_config = false;
@@ -176,7 +178,7 @@
   const bool changed = m_membership.OnRows(prefix, RowsWithPrefix(reply.rows, prefix));
   const bool is_small = m_membership.peers().size() <= kMaxPeersForFullBroadcast;
   if (is_full) m_next_full_read = now + (is_small ? kSmallClusterFullReadInterval : kFullReadInterval);
-  if (has_owners) {
+  if (reads_owners) {
     const std::vector<Row> owners = RowsWithPrefix(reply.rows, OwnerPrefix(m_context.settings.domain));
     const std::int64_t intervals = 1 + static_cast<std::int64_t>(owners.size()) / kOwnerRowsPerInterval;
     m_next_owner_read = now + m_context.settings.renew_interval * (intervals - 1);
--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -122,8 +122,8 @@
     if (id == m_context.self) continue;
     const Result<EntryRecord> record = DecodeEntryRecord(row.value);
     if (!record) continue;
-    const auto [entry, inserted] = m_peers.try_emplace(id);
-    Peer& peer = entry->second;
+    const auto [it, inserted] = m_peers.try_emplace(id);
+    Peer& peer = it->second;
     changed = changed || inserted || peer.record.state != record->state;
     if (inserted) m_context.effects.ConnectPeer(id, record->peer_address);
     if (peer.version >= row.version) continue;
@@ -235,6 +235,7 @@
   double best_score = 0;
   for (const auto& [id, peer] : m_peers) {
     if (peer.record.state != EntryState::kServing || !HasRecentHeartbeat(id)) continue;
+    // A peer of the own failure domain is almost always preferred.
     const double weight = peer.record.domain == m_context.settings.domain ? 1e6 : 1.0;
     const double score = RendezvousScore(m_context.self.value(), id.value(), weight);
     if (score <= best_score) continue;
