--- a/src/cell/group_committer.cc
+++ b/src/cell/group_committer.cc
@@ -18,13 +18,13 @@
 }  // namespace
 
 GroupCommitter::GroupCommitter(StateStore& store, LeaderRecord record, std::int64_t guard_version, BatchSource collect,
-                               std::function<void()> deposed, std::function<void()> request_tick)
+                               std::function<void()> on_deposed, std::function<void()> request_tick)
     : m_store(store),
       m_record(std::move(record)),
       m_committed_record(m_record),
       m_guard_version(guard_version),
       m_collect(std::move(collect)),
-      m_deposed(std::move(deposed)),
+      m_on_deposed(std::move(on_deposed)),
       m_request_tick(std::move(request_tick)) {}
 
 void GroupCommitter::HandOver(std::string successor) {
@@ -66,7 +66,7 @@
   transaction.writes.push_back(StateWrite{kLeaderTable, kLeaderKey, EncodeLeaderRecord(record)});
   m_record = std::move(record);
   m_transaction = std::move(transaction);
-  m_committed = std::move(batch.committed);
+  m_on_committed = std::move(batch.on_committed);
   m_first_sent_at = now;
   Send(now);
 }
@@ -95,7 +95,7 @@
       // An earlier copy of the same transaction has taken effect.
       if (current && *current == m_record) return OnCommitted(reply.guard.version);
       m_is_deposed = true;
-      return m_deposed();
+      return m_on_deposed();
     }
     case StateStatus::kRefused:
     case StateStatus::kUnknown:
@@ -114,8 +114,8 @@
   m_next_send = m_first_sent_at + kBatchInterval;
   m_transaction.reset();
   if (m_is_handover_sent) m_is_handed_over = true;
-  const auto committed = std::exchange(m_committed, nullptr);
-  if (committed) committed();
+  const auto on_committed = std::exchange(m_on_committed, nullptr);
+  if (on_committed) on_committed();
 }
 
 }  // namespace jaymast
--- a/src/cell/group_committer.h
+++ b/src/cell/group_committer.h
@@ -14,7 +14,7 @@
 /// Writes for the next transaction.
 struct CommitBatch {
   std::vector<StateWrite> writes;
-  std::function<void()> committed;  ///< called after the writes are known to be committed
+  std::function<void()> on_committed;  ///< called after the writes are known to be committed
 };
 
 /// Commits the leader's writes in batches, one transaction at a time, each guarded by the version of the leader row.
@@ -28,7 +28,7 @@
 
   /// @param record the leader row as written by the takeover; `guard_version` is its version
   GroupCommitter(StateStore& store, LeaderRecord record, std::int64_t guard_version, BatchSource collect,
-                 std::function<void()> deposed, std::function<void()> request_tick);
+                 std::function<void()> on_deposed, std::function<void()> request_tick);
 
   /// Requests a transaction at the next opportunity.
   void MarkDirty() { m_is_dirty = true; }
@@ -61,10 +61,10 @@
   LeaderRecord m_committed_record;  ///< as of the last transaction that took effect
   std::int64_t m_guard_version;
   const BatchSource m_collect;
-  const std::function<void()> m_deposed;
+  const std::function<void()> m_on_deposed;
   const std::function<void()> m_request_tick;
   std::optional<StateTransaction> m_transaction;  ///< sent and not known to have taken effect
-  std::function<void()> m_committed;
+  std::function<void()> m_on_committed;
   bool m_in_flight = false;
   bool m_is_dirty = true;
   bool m_is_deposed = false;
--- a/src/cell/record_log_test.cc
+++ b/src/cell/record_log_test.cc
@@ -65,9 +65,9 @@
   explicit Workload(unsigned seed) : m_random(seed) {}
 
   void Step(RecordLog& log) {
-    const std::size_t action = FindCaller(10);
+    const std::size_t action = RandomBelow(10);
     if (action < 3 || open.empty()) return Open(log);
-    const std::string job = open[FindCaller(open.size())];
+    const std::string job = open[RandomBelow(open.size())];
     if (action < 8) {
       expected[job].progress = Text(40);
       log.Put(JobId(job), RecordKind::kProgress, expected[job].progress);
@@ -110,7 +110,7 @@
     }
   }
 
-  std::size_t FindCaller(std::size_t count) {
+  std::size_t RandomBelow(std::size_t count) {
     return std::uniform_int_distribution<std::size_t>(0, count - 1)(m_random);
   }
 
@@ -128,7 +128,7 @@
     expected[job] = {RecordKind::kJob, Text(200), ""};
     log.Put(JobId(job), RecordKind::kJob, expected[job].text);
   }
-  std::string Text(std::size_t bytes) { return std::string(bytes, static_cast<char>('a' + FindCaller(26))); }
+  std::string Text(std::size_t bytes) { return std::string(bytes, static_cast<char>('a' + RandomBelow(26))); }
 
   std::mt19937 m_random;
   int m_jobs = 0;
@@ -141,10 +141,10 @@
     Rows rows;
     auto log = std::make_unique<RecordLog>();
     for (int transaction = 0; transaction < 1'500; ++transaction) {
-      for (std::size_t i = load.FindCaller(6); i > 0; --i) load.Step(*log);
+      for (std::size_t i = load.RandomBelow(6); i > 0; --i) load.Step(*log);
       load.Compact(*log);
       EXPECT_LE(Apply(*log, rows), 99U);
-      const bool is_takeover = load.FindCaller(400) == 0;
+      const bool is_takeover = load.RandomBelow(400) == 0;
       if (is_takeover) log = std::make_unique<RecordLog>();
       if (is_takeover || transaction % 50 == 0) load.Check(ReadAll(rows, is_takeover ? log.get() : nullptr));
     }
--- a/src/cell/scheduler.cc
+++ b/src/cell/scheduler.cc
@@ -17,7 +17,7 @@
 /// Ended jobs are kept for this time; clients may read them for 120 s.
 constexpr Duration kEndedJobRetention{300'000'000};
 /// The hard deadline of a job is this multiple of its objective.
-constexpr int kLateFactor = 3;
+constexpr int kHardDeadlineFactor = 3;
 
 }  // namespace
 
@@ -103,10 +103,10 @@
 
 CommitBatch Scheduler::CollectBatch() {
   CommitBatch batch;
-  std::vector<std::pair<JobId, std::uint64_t>> covered;
-  const auto record = [this, &covered](Job& job) {
+  std::vector<std::pair<JobId, std::uint64_t>> batched_changes;
+  const auto record = [this, &batched_changes](Job& job) {
     job.is_queued_for_commit = false;
-    covered.emplace_back(job.id, job.change);
+    batched_changes.emplace_back(job.id, job.change);
     PutRecords(job);
   };
   while (!m_commit_queue.empty() && m_log.pending_bytes() < kMaxBatchBytes) {
@@ -133,18 +133,18 @@
   }
   batch.writes = m_log.TakeWrites();
   if (!m_commit_queue.empty()) m_mark_dirty();
-  batch.committed = [this, covered = std::move(covered)] {
-    for (const auto& [id, change] : covered) {
+  batch.on_committed = [this, batched_changes = std::move(batched_changes)] {
+    for (const auto& [id, change] : batched_changes) {
       Job* job = FindJob(id);
       if (job == nullptr) continue;
       job->committed_change = change;
       if (change == job->change) job->committed_state = job->state;
       std::vector<std::function<void()>> actions;
       auto& waiting = job->commit_callbacks;
-      const auto first_open = std::find_if(waiting.begin(), waiting.end(),
-                                           [change = change](const auto& entry) { return entry.first > change; });
-      for (auto it = waiting.begin(); it != first_open; ++it) actions.push_back(std::move(it->second));
-      waiting.erase(waiting.begin(), first_open);
+      const auto first_uncommitted = std::find_if(
+          waiting.begin(), waiting.end(), [change = change](const auto& entry) { return entry.first > change; });
+      for (auto it = waiting.begin(); it != first_uncommitted; ++it) actions.push_back(std::move(it->second));
+      waiting.erase(waiting.begin(), first_uncommitted);
       for (const auto& action : actions) action();
       if (IsSettled(*job) && job->commit_callbacks.empty()) {
         job->occurrences.clear();
@@ -246,19 +246,19 @@
   if (queue == nullptr) return;
   const double call_ms =
       queue->policy ? queue->policy->call_ms + queue->policy->per_upstream_ms * kUpstreamsPerCallInObjective : 0;
-  std::vector<double> chain(job.spec.steps.size(), 0);
+  std::vector<double> critical_path_ms(job.spec.steps.size(), 0);
   double longest = 0;
   for (std::size_t s = 0; s < job.spec.steps.size(); ++s) {
     const StepSpec& step = job.spec.steps[s];
-    for (const std::size_t before : step.dependencies) {
-      if (before < s) chain[s] = std::max(chain[s], chain[before]);
+    for (const std::size_t dependency : step.dependencies) {
+      if (dependency < s) critical_path_ms[s] = std::max(critical_path_ms[s], critical_path_ms[dependency]);
     }
-    chain[s] += static_cast<double>(step.estimate_ms) + call_ms;
-    longest = std::max(longest, chain[s]);
+    critical_path_ms[s] += static_cast<double>(step.estimate_ms) + call_ms;
+    longest = std::max(longest, critical_path_ms[s]);
   }
   const auto objective_ms = static_cast<std::int64_t>(longest * queue->stretch) + queue->target_duration_ms;
   job.objective = job.accepted + std::chrono::milliseconds(objective_ms);
-  job.hard_deadline = job.accepted + std::chrono::milliseconds(objective_ms * kLateFactor);
+  job.hard_deadline = job.accepted + std::chrono::milliseconds(objective_ms * kHardDeadlineFactor);
 }
 
 void Scheduler::FinishTask(Job& job, const TaskKey& key, TaskState& task) {
--- a/src/cell/scheduler.h
+++ b/src/cell/scheduler.h
@@ -167,10 +167,10 @@
   void OnEndedRun(UpstreamState& upstream, const EndedRun& row);
   void OnFailedRun(Job& job, const TaskKey& key, TaskState& task, UpstreamState& upstream);
   void AcknowledgeEnds(UpstreamState& upstream);
-  void MarkUnlistedTasksLost(UpstreamState& upstream, const std::set<TaskKey>& reported);
+  void MarkUnreportedTasksLost(UpstreamState& upstream, const std::set<TaskKey>& reported);
   void MarkAllTasksLost(UpstreamState& upstream, std::string_view reason);
   void MarkTaskLost(const TaskKey& key, std::string_view reason);
-  void CheckProgress(UpstreamState& upstream);
+  void StopStalledRuns(UpstreamState& upstream);
 
   // scheduler_placement.cc
   void PlaceWaitingSteps();
--- a/src/cell/scheduler_clients.cc
+++ b/src/cell/scheduler_clients.cc
@@ -98,8 +98,8 @@
     if (step.task_count < 1 || step.task_count > kMaxTasksOfJob) return reply({ClientOutcome::kMalformed});
     tasks += step.task_count;
     if (tasks > kMaxTasksOfJob) return reply({ClientOutcome::kMalformed});
-    for (const std::size_t before : step.dependencies) {
-      if (before >= call.spec->steps.size() || before == s) return reply({ClientOutcome::kMalformed});
+    for (const std::size_t dependency : step.dependencies) {
+      if (dependency >= call.spec->steps.size() || dependency == s) return reply({ClientOutcome::kMalformed});
     }
   }
   Job job;
@@ -136,8 +136,8 @@
     }
     const auto objective_s = std::chrono::duration<double>(job.objective - m_now).count();
     const double target_s = static_cast<double>(queue.target_duration_ms) / 1000.0;
-    const double chain_s = queue.stretch > 0 ? (objective_s - target_s) / queue.stretch : 0;
-    load.slack_s = objective_s - chain_s;
+    const double critical_path_s = queue.stretch > 0 ? (objective_s - target_s) / queue.stretch : 0;
+    load.slack_s = objective_s - critical_path_s;
     const auto team_config = m_config->teams.find(team);
     if (team_config != m_config->teams.end()) load.weight = team_config->second.weight;
     // Right after a takeover no upstream has replied yet, which is no sign of overload.
--- a/src/cell/scheduler_placement.cc
+++ b/src/cell/scheduler_placement.cc
@@ -67,9 +67,9 @@
       for (std::size_t s = 0; s < occurrence.steps.size(); ++s) {
         if (occurrence.steps[s].waiting == 0) continue;
         const auto& dependencies = job.spec.steps[s].dependencies;
-        const bool is_ready = std::all_of(dependencies.begin(), dependencies.end(), [&occurrence](std::size_t before) {
-          return occurrence.steps[before].not_done == 0;
-        });
+        const bool is_ready =
+            std::all_of(dependencies.begin(), dependencies.end(),
+                        [&occurrence](std::size_t dependency) { return occurrence.steps[dependency].not_done == 0; });
         if (!is_ready) continue;
         if (queue == nullptr) queue = QueueOf(job);
         if (queue != nullptr) refs.push_back({&job, k, s, lateness, queue->priority, job.objective});
@@ -241,22 +241,22 @@
   StepState& step = ref.job->occurrences[ref.occurrence].steps[ref.step];
   const StepSpec& spec = ref.job->spec.steps[ref.step];
   if (step.open_policy_calls > 0 || m_now < step.next_policy_call_at) return;
-  const PolicyConfig& terms = *queue.policy;
-  if (!m_policy_calls.CanCall(static_cast<std::int64_t>(terms.call_ms), m_now)) return;
+  const PolicyConfig& policy_config = *queue.policy;
+  if (!m_policy_calls.CanCall(static_cast<std::int64_t>(policy_config.call_ms), m_now)) return;
   const double share = m_allowed_share.try_emplace(queue.id, kInitialAllowedShare).first->second;
   double ticketed_slots = 0;
   std::vector<std::tuple<bool, std::int64_t, double, UpstreamState*>>
       unticketed;  // is full, negated free CPU, expected slots
   for (auto& [id, upstream] : m_upstreams) {
     if (!CanRunOn(spec, queue, upstream)) continue;
-    const auto verdict = step.policy_decisions.find(id);
-    if (verdict != step.policy_decisions.end() && !verdict->second) continue;
+    const auto decision = step.policy_decisions.find(id);
+    if (decision != step.policy_decisions.end() && !decision->second) continue;
     const std::int64_t free_slots = CountSlots(ref, upstream, upstream.FreeCapacity());
     if (step.tickets.contains(id)) {
       ticketed_slots += static_cast<double>(free_slots);
       continue;
     }
-    const double probability = verdict != step.policy_decisions.end() ? 1.0 : share;
+    const double probability = decision != step.policy_decisions.end() ? 1.0 : share;
     const std::int64_t slots = free_slots > 0 ? free_slots : CountSlots(ref, upstream, upstream.listing.capacity);
     if (slots == 0) continue;
     unticketed.emplace_back(free_slots == 0, -upstream.FreeCapacity().cpu_millis,
@@ -283,7 +283,7 @@
     request.upstreams.push_back(upstream->listing.id);
   }
   request.expected_ms = static_cast<std::int64_t>(
-      std::ceil(terms.call_ms + terms.per_upstream_ms * static_cast<double>(request.upstreams.size())));
+      std::ceil(policy_config.call_ms + policy_config.per_upstream_ms * static_cast<double>(request.upstreams.size())));
   const TaskKey step_key{ref.job->id, ref.occurrence, ref.step, 0};
   const bool is_sent = m_policy_calls.TryCall(
       request, m_now, [this, step_key, requested = request.upstreams](const PolicyReply& policy_reply) {
--- a/src/cell/scheduler_upstreams.cc
+++ b/src/cell/scheduler_upstreams.cc
@@ -18,7 +18,7 @@
 constexpr Duration kSameIncarnationBound{150'000};
 constexpr int kUnreachableAfterFailedSyncs = 2;
 /// While ends are not committed, a sync gets an immediate reply, so it is repeated only to extend leases.
-constexpr Duration kUnstoredSyncInterval{300'000};
+constexpr Duration kUncommittedEndsSyncInterval{300'000};
 /// Delay after a failed sync; grows with each failure up to the maximum.
 constexpr Duration kFailedSyncDelay{100'000};
 constexpr Duration kMaxFailedSyncDelay{500'000};
@@ -108,7 +108,7 @@
   if (upstream.is_syncing || m_now < upstream.next_sync || upstream.listing.address.empty()) return;
   if (!upstream.is_listed && upstream.tasks.empty()) return;
   const UpstreamId id = upstream.listing.id;
-  const bool has_unstored_ends = !upstream.ends.empty();
+  const bool has_uncommitted_ends = !upstream.ends.empty();
   SyncOrder order;
   order.target = {id, upstream.listing.address, upstream.token};
   // After a gap the upstream may be a new incarnation, whose ends have the same numbers and are not known yet.
@@ -119,7 +119,7 @@
   order.lease_until_ms = extends_lease ? GrantLease(upstream) : 0;
   const bool acknowledges_later = order.acknowledged_end != upstream.acknowledged_end;
   const bool needs_immediate_reply = acknowledges_later || !upstream.is_adopted || upstream.failed_syncs > 0 ||
-                                     has_unstored_ends || upstream.sync_token != upstream.token;
+                                     has_uncommitted_ends || upstream.sync_token != upstream.token;
   const bool is_lossy = m_now - m_order_timed_out_at < kLossyPeriod;
   order.wait_ms = needs_immediate_reply ? 0 : (is_lossy ? kSyncWaitLossyMs : kSyncWaitMs);
   upstream.is_syncing = true;
@@ -180,10 +180,10 @@
     reported.insert(row.task);
     OnActiveRun(upstream, row);
   }
-  if (!reply.has_more_ends) MarkUnlistedTasksLost(upstream, reported);
-  CheckProgress(upstream);
+  if (!reply.has_more_ends) MarkUnreportedTasksLost(upstream, reported);
+  StopStalledRuns(upstream);
   AcknowledgeEnds(upstream);
-  upstream.next_sync = upstream.ends.empty() ? m_now : m_now + kUnstoredSyncInterval;
+  upstream.next_sync = upstream.ends.empty() ? m_now : m_now + kUncommittedEndsSyncInterval;
   if (!was_adopted) m_needs_placement = true;
 }
 
@@ -304,7 +304,7 @@
   if (is_advanced && upstream.ends.empty()) upstream.next_sync = std::min(upstream.next_sync, m_now);
 }
 
-void Scheduler::MarkUnlistedTasksLost(UpstreamState& upstream, const std::set<TaskKey>& reported) {
+void Scheduler::MarkUnreportedTasksLost(UpstreamState& upstream, const std::set<TaskKey>& reported) {
   std::vector<TaskKey> lost;
   for (const TaskKey& key : upstream.tasks) {
     const TaskState* task = FindTask(key);
@@ -340,7 +340,7 @@
   MarkChanged(*job);
 }
 
-void Scheduler::CheckProgress(UpstreamState& upstream) {
+void Scheduler::StopStalledRuns(UpstreamState& upstream) {
   for (const TaskKey& key : std::vector<TaskKey>(upstream.tasks)) {
     TaskState* task = FindTask(key);
     if (task == nullptr || task->phase != TaskPhase::kRunning || m_now - task->progressed_at < kStalledRunTimeout)
--- a/src/cell_testing/simulated_cluster.h
+++ b/src/cell_testing/simulated_cluster.h
@@ -111,14 +111,14 @@
   explicit SimulatedCluster(int instances, int upstreams, std::int64_t cpu_millis = 8000) : store(queue) {
     config = std::make_shared<CellConfig>();
     config->version = 1;
-    QueueConfig jobs;
-    jobs.id = QueueId("q");
-    jobs.prefix = "/q/";
-    jobs.service = ServiceId("s");
-    jobs.max_attempts = 3;
-    jobs.stretch = 4;
-    jobs.target_duration_ms = 5000;
-    config->queues.push_back(jobs);
+    QueueConfig queue_config;
+    queue_config.id = QueueId("q");
+    queue_config.prefix = "/q/";
+    queue_config.service = ServiceId("s");
+    queue_config.max_attempts = 3;
+    queue_config.stretch = 4;
+    queue_config.target_duration_ms = 5000;
+    config->queues.push_back(queue_config);
     config->teams[TeamId("team")] = TeamConfig{TeamId("team"), 1000, {}};
     config->team_of_key["key"] = TeamId("team");
     for (int i = 0; i < upstreams; ++i) {
@@ -297,14 +297,14 @@
   class FakePolicyClient : public PolicyClient {
    public:
     explicit FakePolicyClient(SimulatedCluster& cluster) : m_cluster(cluster) {}
-    void RequestTickets(const std::string& /*caller*/, const PolicyRequest& question,
+    void RequestTickets(const std::string& /*caller*/, const PolicyRequest& policy_request,
                         std::function<void(PolicyReply)> done) override {
       ++m_cluster.policy_calls;
       PolicyReply policy_reply;
       policy_reply.is_answered = true;
       policy_reply.ticket_ms = 2000;
-      for (const UpstreamId& id : question.upstreams) policy_reply.tickets.emplace_back(id, "ticket");
-      m_cluster.queue.After(std::chrono::milliseconds(question.expected_ms),
+      for (const UpstreamId& id : policy_request.upstreams) policy_reply.tickets.emplace_back(id, "ticket");
+      m_cluster.queue.After(std::chrono::milliseconds(policy_request.expected_ms),
                             [done, policy_reply] { done(policy_reply); });
     }
 
--- a/src/instance/cell_instance.cc
+++ b/src/instance/cell_instance.cc
@@ -25,7 +25,7 @@
 constexpr Duration kReadyStoreTimeout{1'200'000};
 /// Calls are relayed only to a leader with contact within this time, or within `kMissedHeartbeats` intervals if longer:
 /// whether a call sent into a network partition has run can't be known.
-constexpr Duration kLeaderTimeout{500'000};
+constexpr Duration kLeaderContactTimeout{500'000};
 constexpr std::int64_t kMissedHeartbeats = 3;
 /// Timeout of a client that states none.
 constexpr std::int64_t kDefaultClientTimeoutMs = 3000;
@@ -90,7 +90,7 @@
       m_election(m_ports.store, m_address, rank, cpu_millis < kPreferredLeaderCpuMillis,
                  [this](const LeaderRecord& record, std::int64_t version) { BeginTerm(record, version); }),
       m_policy_router(std::make_unique<PolicyRouter>(*this)),
-      m_leader_unreachable_at(Time{} + kLeaderTimeout) {}
+      m_leader_unreachable_at(Time{} + kLeaderContactTimeout) {}
 
 CellInstance::~CellInstance() = default;
 
@@ -193,12 +193,12 @@
     });
   }
   if (request.target == kHeartbeatPath) {
-    const std::optional<Heartbeat> hb = DecodeHeartbeat(request.body);
-    if (hb && hb->record.address.empty()) {
+    const std::optional<Heartbeat> heartbeat = DecodeHeartbeat(request.body);
+    if (heartbeat && heartbeat->record.address.empty()) {
       m_election.RequestRead();
       m_ports.request_tick();
-    } else if (hb) {
-      OnHeartbeat(*hb);
+    } else if (heartbeat) {
+      OnHeartbeat(*heartbeat);
     }
     return done({kStatusNoContent, {}, ""});
   }
@@ -260,7 +260,8 @@
                     m_now + kHeartbeatTimeout, [this](const PeerResult& result) {
                       if (!result.was_sent) m_election.OnLeaderConnectionRefused(m_now);
                       if (!result.is_answered || result.response.status != kStatusOk) return;
-                      if (const std::optional<Heartbeat> hb = DecodeHeartbeat(result.response.body)) OnHeartbeat(*hb);
+                      if (const std::optional<Heartbeat> heartbeat = DecodeHeartbeat(result.response.body))
+                        OnHeartbeat(*heartbeat);
                     });
 }
 
@@ -268,14 +269,14 @@
   return {m_term->committer().committed_record(), m_term->committer().committed_version()};
 }
 
-void CellInstance::OnHeartbeat(const Heartbeat& hb) {
-  if (m_term != nullptr || hb.record.epoch < m_election.leader_epoch()) return;
+void CellInstance::OnHeartbeat(const Heartbeat& heartbeat) {
+  if (m_term != nullptr || heartbeat.record.epoch < m_election.leader_epoch()) return;
   const Duration gap = std::min(m_now - m_leader_contact_at, kMaxHeartbeatGap);
-  m_leader_unreachable_at = m_now + std::max(kLeaderTimeout, gap * kMissedHeartbeats);
+  m_leader_unreachable_at = m_now + std::max(kLeaderContactTimeout, gap * kMissedHeartbeats);
   m_leader_contact_at = m_now;
-  if (hb.version != m_leader_version) m_leader_version_changed_at = m_now;
-  m_leader_version = hb.version;
-  m_election.OnLeaderProgress(hb.record, hb.version, m_now);
+  if (heartbeat.version != m_leader_version) m_leader_version_changed_at = m_now;
+  m_leader_version = heartbeat.version;
+  m_election.OnLeaderProgress(heartbeat.record, heartbeat.version, m_now);
 }
 
 void CellInstance::UpdatePolicyCallers() {
@@ -325,7 +326,7 @@
 }
 
 std::map<std::string, double> CellInstance::Gauges() const {
-  const auto seconds = [this](Time since) { return std::chrono::duration<double>(m_now - since).count(); };
+  const auto seconds_since = [this](Time since) { return std::chrono::duration<double>(m_now - since).count(); };
   std::map<std::string, double> gauges = {
       {"jaymast_leader", m_term != nullptr ? 1 : 0},
       {"jaymast_ready", is_ready() ? 1 : 0},
@@ -333,11 +334,11 @@
       {"jaymast_open_calls", static_cast<double>(m_relay.open_calls())},
   };
   if (m_term == nullptr) {
-    if (m_leader_contact_at != Time{}) gauges["jaymast_leader_silence_seconds"] = seconds(m_leader_contact_at);
+    if (m_leader_contact_at != Time{}) gauges["jaymast_leader_silence_seconds"] = seconds_since(m_leader_contact_at);
     return gauges;
   }
   const Scheduler& scheduler = m_term->scheduler();
-  gauges["jaymast_unconfirmed_seconds"] = seconds(m_term->committer().confirmed_at());
+  gauges["jaymast_unconfirmed_seconds"] = seconds_since(m_term->committer().confirmed_at());
   gauges["jaymast_active_jobs"] = static_cast<double>(scheduler.active_jobs());
   gauges["jaymast_known_jobs"] = static_cast<double>(scheduler.known_jobs());
   gauges["jaymast_uncommitted_jobs"] = static_cast<double>(scheduler.uncommitted_jobs());
--- a/src/instance/cell_takeover_test.cc
+++ b/src/instance/cell_takeover_test.cc
@@ -11,7 +11,7 @@
 using std::chrono::seconds;
 
 /// Makes the store slow for the leader and returns the leader's index.
-int LeaderWithSlowStore(SimulatedCluster& cluster) {
+int SlowDownLeaderStore(SimulatedCluster& cluster) {
   cluster.Run(seconds(2));
   const int leader = cluster.Leader();
   cluster.At(leader).store->fault = StoreFault::kSlow;
@@ -156,7 +156,7 @@
 TEST(CellTakeoverTest, SlowStoreHandlesBurstOfJobs) {
   constexpr int kJobs = 240;
   SimulatedCluster cluster(2, 12);
-  const int leader = LeaderWithSlowStore(cluster);
+  const int leader = SlowDownLeaderStore(cluster);
   SubmitSteadily(cluster, leader, kJobs, "tasks=1 ms=300", milliseconds(12));
   cluster.Run(seconds(3));
   EXPECT_EQ(cluster.Leader(), leader);
@@ -168,7 +168,7 @@
 TEST(CellTakeoverTest, SlowStoreHandles200JobsPerSecond) {
   constexpr int kJobs = 800;
   SimulatedCluster cluster(2, 40);
-  const int leader = LeaderWithSlowStore(cluster);
+  const int leader = SlowDownLeaderStore(cluster);
   SubmitSteadily(cluster, leader, kJobs, "tasks=1 cpu=100 ms=300", milliseconds(5));
   // Acceptance takes two transactions; assignment and end of the last job take one each.
   cluster.Run(milliseconds(800));
--- a/src/instance/cell_term.cc
+++ b/src/instance/cell_term.cc
@@ -18,7 +18,7 @@
 
 CellTerm::CellTerm(StateStore& store, Scheduler::Ports ports, const LeaderRecord& record, std::int64_t version,
                    Time now, const MakeFeeds& make_feeds, std::function<void()> request_tick,
-                   const std::function<void()>& deposed)
+                   const std::function<void()>& on_deposed)
     : m_store(store),
       m_events(ports.events),
       m_request_tick(std::move(request_tick)),
@@ -29,10 +29,10 @@
             m_committer.MarkDirty();
             m_request_tick();
           },
-          deposed),
+          on_deposed),
       m_committer(
-          store, record, version, [this] { return m_is_loaded ? m_scheduler.CollectBatch() : CommitBatch{}; }, deposed,
-          m_request_tick),
+          store, record, version, [this] { return m_is_loaded ? m_scheduler.CollectBatch() : CommitBatch{}; },
+          on_deposed, m_request_tick),
       m_feeds(make_feeds(*this)) {}
 
 void CellTerm::OnTick(Time now, std::int64_t unix_now_ms) {
--- a/src/instance/cell_term.h
+++ b/src/instance/cell_term.h
@@ -21,9 +21,9 @@
  public:
   using MakeFeeds = std::function<std::unique_ptr<CellFeeds>(FeedListener&)>;
 
-  /// @param deposed called when another instance has taken over
+  /// @param on_deposed called when another instance has taken over
   CellTerm(StateStore& store, Scheduler::Ports ports, const LeaderRecord& record, std::int64_t version, Time now,
-           const MakeFeeds& make_feeds, std::function<void()> request_tick, const std::function<void()>& deposed);
+           const MakeFeeds& make_feeds, std::function<void()> request_tick, const std::function<void()>& on_deposed);
 
   void OnTick(Time now, std::int64_t unix_now_ms);
   void OnClientCall(const ClientCall& call, const ClientReplyFunction& reply);
--- a/src/instance/relay.cc
+++ b/src/instance/relay.cc
@@ -11,7 +11,7 @@
 constexpr Duration kAttemptTimeout{1'300'000};
 /// Without a leader for this time, this instance is partitioned and refuses calls at once. A takeover takes 0.4 to 0.9
 /// s, and the old leader counts as known for another 0.5 s.
-constexpr Duration kLeaderTimeout{1'300'000};
+constexpr Duration kNoLeaderTimeout{1'300'000};
 
 }  // namespace
 
@@ -24,7 +24,7 @@
   call->deadline = deadline;
   m_calls.insert(call);
   if (m_is_leader_known) return SendAttempt(call, now);
-  if (now - m_leader_known_at > kLeaderTimeout) FailCall(call);
+  if (now - m_leader_known_at > kNoLeaderTimeout) FailCall(call);
 }
 
 void Relay::SetLeader(bool is_known, const std::string& address, std::uint64_t epoch, Time now) {
@@ -62,7 +62,7 @@
   const std::vector<CallPtr> calls(m_calls.begin(), m_calls.end());
   for (const CallPtr& call : calls) {
     const bool is_leader_missing =
-        !m_is_leader_known && now - m_leader_known_at > kLeaderTimeout && !call->is_attempt_pending;
+        !m_is_leader_known && now - m_leader_known_at > kNoLeaderTimeout && !call->is_attempt_pending;
     if (now >= call->deadline || is_leader_missing) {
       FailCall(call);
     } else if (!call->is_attempt_pending && m_is_leader_known && now >= call->next_attempt) {
