--- a/src/cell/admission_controller.h
+++ b/src/cell/admission_controller.h
@@ -20,10 +20,13 @@
 
 struct AdmissionDecision {
   bool is_admitted = true;
-  std::int64_t retry_after_s = 0;
+  std::int64_t retry_after_s = 0;  ///< set for a refused job
 };
 
 /// Decides at arrival whether a job can be completed in time.
+///
+/// Each organisation has a token bucket that refills at its weight. Jobs beyond it are admitted only if the wait is
+/// short.
 class AdmissionController {
  public:
   AdmissionDecision Decide(const TeamId& team, const AdmissionLoad& load, Time now);
--- a/src/cell/group_committer.h
+++ b/src/cell/group_committer.h
@@ -27,6 +27,8 @@
   using BatchSource = std::function<CommitBatch()>;
 
   /// @param record the leader row as written by the takeover; `guard_version` is its version
+  /// @param on_deposed called when another leader has written the leader row; no transaction is sent from then on
+  /// @param request_tick called when a reply has arrived, which the next tick handles
   GroupCommitter(StateStore& store, LeaderRecord record, std::int64_t guard_version, BatchSource collect,
                  std::function<void()> on_deposed, std::function<void()> request_tick);
 
@@ -49,6 +51,7 @@
   Time confirmed_at() const { return m_confirmed_at; }
   /// Whether the store has not replied or has refused transactions for longer than `bound`.
   bool IsStalled(Time now, Duration bound) const { return m_failing_since && now - *m_failing_since > bound; }
+  /// Store clock at `now` in ms, extrapolated from the last reply.
   std::int64_t store_now_ms(Time now) const { return m_store_now_ms + ToMillis(now - m_store_now_at); }
 
  private:
--- a/src/cell/record_log.h
+++ b/src/cell/record_log.h
@@ -20,8 +20,8 @@
 /// removed. Sparse rows are compacted by putting their live records again, so that a successor reads a bounded multiple
 /// of the live records.
 ///
-/// Readers take the last record of each kind. So the final record of a job stays until all earlier records of the job
-/// are removed; otherwise a successor would find an ended job as active.
+/// Readers take the last record of each kind. The final record of a job therefore stays until all earlier records of
+/// the job are removed; otherwise a successor would treat an ended job as active.
 class RecordLog {
  public:
   struct RecordRef {
@@ -32,6 +32,7 @@
   /// Adds a row of an earlier leader. Rows must come in ascending order of their keys.
   void AddLoadedRow(const StateRow& row, const std::vector<LogRecord>& records);
 
+  /// Appends a record. `text` must not contain line breaks.
   void Put(const JobId& job, RecordKind kind, std::string_view text);
 
   /// Allows the final record of the job to be removed.
--- a/src/cell/scheduler.h
+++ b/src/cell/scheduler.h
@@ -30,13 +30,13 @@
 /// Leadership status, refreshed at each tick.
 struct LeadershipStatus {
   Time confirmed_at{};                ///< no other leader existed at this time
-  bool is_store_stalled = false;      ///< the store does not reply to this leader
-  bool is_store_unavailable = false;  ///< for so long that no instance can reach it
+  bool is_store_stalled = false;      ///< the store does not reply to this leader, but may reply to other instances
+  bool is_store_unavailable = false;  ///< the stall is so long that no other instance can reach the store either
   std::int64_t store_now_ms = 0;
   std::int64_t unix_now_ms = 0;  ///< time of day, which may jump
 };
 
-/// Schedules jobs on the leader: accepts them, places, starts and stops their tasks, and records both.
+/// Schedules jobs on the leader: accepts them, places, starts and stops their tasks, and records jobs and tasks.
 ///
 /// No sockets, clocks or threads. A start is sent only after its assignment is in the store, and an end is
 /// acknowledged to its upstream only after it is in the store.
@@ -116,6 +116,7 @@
   StepState& StepOf(Job& job, const TaskKey& key) { return job.occurrences[key.occurrence].steps[key.step]; }
   const QueueConfig* QueueOf(const Job& job) const;
   void MarkChanged(Job& job);
+  /// Calls `action` once all changes of the job up to now are committed.
   void WhenCommitted(Job& job, std::function<void()> action);
   void AllocateCapacity(Job& job, const TaskKey& key, TaskState& task, const UpstreamId& upstream);
   void ReleaseCapacity(Job& job, const TaskKey& key, TaskState& task);
@@ -167,6 +168,7 @@
   void OnEndedRun(UpstreamState& upstream, const EndedRun& row);
   void OnFailedRun(Job& job, const TaskKey& key, TaskState& task, UpstreamState& upstream);
   void AcknowledgeEnds(UpstreamState& upstream);
+  /// Marks tasks as lost that a complete sync reply does not contain although it would if they ran.
   void MarkUnreportedTasksLost(UpstreamState& upstream, const std::set<TaskKey>& reported);
   void MarkAllTasksLost(UpstreamState& upstream, std::string_view reason);
   void MarkTaskLost(const TaskKey& key, std::string_view reason);
@@ -182,8 +184,10 @@
   std::int64_t CountSlots(const StepRef& ref, const UpstreamState& upstream, const Resources& free_capacity) const;
   void ReserveUpstreams(const StepRef& ref, const std::vector<UpstreamState*>& candidates);
   void RequestTickets(const StepRef& ref, const QueueConfig& queue);
+  /// @param step_key key of the first task of the step
   void OnPolicyReply(const TaskKey& step_key, const std::vector<UpstreamId>& requested,
                      const PolicyReply& policy_reply);
+  /// Capacity that the limit of the organisation still allows it to allocate.
   Resources TeamFreeCapacity(const TeamId& team) const;
 
   Ports m_ports;
--- a/src/cell/scheduler_clients.cc
+++ b/src/cell/scheduler_clients.cc
@@ -15,7 +15,7 @@
 constexpr Duration kMaxUnconfirmed{1'200'000};
 /// Reachable upstreams reply to a new leader within this time.
 constexpr Duration kAdoptionTime{1'000'000};
-/// The end of an outage is unknown; clients wait 3 s in all, so a longer delay would use up most of it.
+/// The end of an outage is unknown. Clients wait 3 s in all, and a longer delay would use up most of that time.
 constexpr std::int64_t kStoreRetryAfterS = 1;
 /// The progress of a job fits into one row of 64 KiB: a task takes up to 60 bytes.
 constexpr std::int64_t kMaxTasksOfJob = 1'000;
--- a/src/cell/scheduler_orders.cc
+++ b/src/cell/scheduler_orders.cc
@@ -47,7 +47,8 @@
   if (task == nullptr || task->run != run) return;
   if (task->phase != TaskPhase::kAssigned && task->phase != TaskPhase::kStarting) return;
   if (m_now - m_leadership.confirmed_at > kMaxStartUnconfirmed) {
-    // Another leader may have taken over while this process was paused, and a restarted upstream has no fencing token.
+    // Another leader may have taken over while this process was paused. An upstream that has restarted since does not
+    // know the fencing token of that leader and would accept the start.
     m_postponed_starts.emplace_back(key, run);
     return;
   }
--- a/src/cell/scheduler_placement.cc
+++ b/src/cell/scheduler_placement.cc
@@ -35,7 +35,7 @@
 /// A gang that is slow across racks waits this long for free capacity on one rack.
 constexpr Duration kMaxRackWait{1'500'000};
 
-/// Keeps only the upstreams of the rack with the least sufficient free capacity.
+/// Keeps only the upstreams of one rack: of those with at least `needed` free slots, the one with the fewest.
 /// @return whether there is such a rack; otherwise nothing is changed
 bool KeepOneRack(std::vector<std::pair<std::int64_t, UpstreamState*>>& slots, std::int64_t needed) {
   std::map<std::string, std::int64_t> free_capacity;
@@ -268,7 +268,8 @@
   });
   const double factor = spec.is_gang ? kRequestedCapacityFactorGang : kRequestedCapacityFactor;
   const double needed = static_cast<double>(step.waiting) * factor - ticketed_slots;
-  // Valid tickets are sufficient; capacity becomes free before new tickets would help.
+  // No call if the valid tickets are sufficient, or if all upstreams without a ticket are full: capacity becomes free
+  // on an upstream with a ticket before new tickets would help.
   if (needed <= 0) return;
   if (std::get<0>(unticketed.front()) && !step.tickets.empty()) return;
   PolicyRequest request;
--- a/src/cell/scheduler_upstreams.cc
+++ b/src/cell/scheduler_upstreams.cc
@@ -11,13 +11,13 @@
 
 /// An upstream replies to a sync when a run ends, or after this time.
 constexpr std::int64_t kSyncWaitMs = 1000;
-/// Used while replies are lost, as a lost reply delays the ends of its upstream.
+/// Used instead while replies are lost, as a lost reply delays the reports of ended runs.
 constexpr std::int64_t kSyncWaitLossyMs = 250;
 constexpr Duration kLossyPeriod{4'000'000};
 /// An upstream can't restart and finish a run within this time after a reply.
 constexpr Duration kSameIncarnationBound{150'000};
 constexpr int kUnreachableAfterFailedSyncs = 2;
-/// While ends are not committed, a sync gets an immediate reply, so it is repeated only to extend leases.
+/// While reported ends are not committed, a sync gets an immediate reply, so it is repeated only to extend leases.
 constexpr Duration kUncommittedEndsSyncInterval{300'000};
 /// Delay after a failed sync; grows with each failure up to the maximum.
 constexpr Duration kFailedSyncDelay{100'000};
@@ -226,6 +226,7 @@
   StepState& step = StepOf(*job, row.task);
   const bool is_current = task->run == row.run && task->upstream == upstream.listing.id && HasAllocation(task->phase);
   if (!is_current) {
+    // A run that was marked as lost still completes its task, unless the task has been assigned again.
     const bool counts = row.kind == EndKind::kDone && task->run == row.run && task->phase == TaskPhase::kWaiting &&
                         !IsFinal(job->state);
     if (!counts) {
--- a/src/cell/upstream_client.h
+++ b/src/cell/upstream_client.h
@@ -88,7 +88,7 @@
 
 /// A run that ended on an upstream.
 struct EndedRun {
-  std::int64_t number = 0;
+  std::int64_t number = 0;  ///< ends of one incarnation of an upstream are numbered in ascending order
   TaskKey task;
   std::int32_t run = 0;
   EndKind kind = EndKind::kFailed;
@@ -98,10 +98,10 @@
 struct SyncReply {
   OrderStatus status = OrderStatus::kUnknown;
   std::int64_t clock_ms = 0;
-  std::int64_t incarnation = 0;
+  std::int64_t incarnation = 0;  ///< changes when the upstream restarts
   std::vector<ActiveRun> running;
   std::vector<EndedRun> ended;
-  bool has_more_ends = false;
+  bool has_more_ends = false;  ///< `ended` is incomplete
 };
 
 /// Sends orders to upstreams. Callbacks are called once, and never from inside the call that registered them.
--- a/src/cell/upstream_state.h
+++ b/src/cell/upstream_state.h
@@ -36,9 +36,9 @@
 
   // Sync.
   bool is_syncing = false;
-  std::uint64_t sync_number = 0;
+  std::uint64_t sync_number = 0;  ///< of the last sync; replies to earlier ones are ignored
   Time sync_sent_at{};
-  std::uint64_t sync_token = 0;
+  std::uint64_t sync_token = 0;  ///< fencing token of the last sync
   Time next_sync{};
   Time last_reply_at{};
   int failed_syncs = 0;
--- a/src/cell_testing/cell_checks.h
+++ b/src/cell_testing/cell_checks.h
@@ -8,6 +8,7 @@
 
 namespace jaymast {
 
+/// Response statuses of FakeClientCodec, which are values of ClientOutcome instead of HTTP statuses.
 inline constexpr int kAccepted = static_cast<int>(ClientOutcome::kAccepted);
 inline constexpr int kState = static_cast<int>(ClientOutcome::kState);
 inline constexpr int kCancelled = static_cast<int>(ClientOutcome::kCancelled);
--- a/src/cell_testing/fake_upstream.h
+++ b/src/cell_testing/fake_upstream.h
@@ -26,7 +26,7 @@
   std::vector<std::string> violations;
 };
 
-/// Behaviour of a task, given by its payload: "ms=<run time>", and "fails" or "hangs".
+/// Behaviour of a task, given by its payload: "ms=<run time>", "cpu=<thousandths of a core>", and "fails" or "hangs".
 struct FakeWork {
   Duration run_time{500'000};
   Resources demand;
@@ -35,7 +35,7 @@
   bool hangs = false;
 };
 
-/// Simulates one runner, with the lease, fencing and end reports of the platform's runners.
+/// Simulates one upstream, with the lease, fencing and end reports of the platform's upstreams.
 class FakeUpstream {
  public:
   FakeUpstream(EventQueue& queue, RunHistory& history, UpstreamListing listing)
--- a/src/cell_testing/simulated_cluster.h
+++ b/src/cell_testing/simulated_cluster.h
@@ -154,6 +154,7 @@
 
   void Restart(int index) { StartInstance(At(index)); }
 
+  /// Index of the leader that has loaded its jobs, or -1 if there is none.
   int Leader() const {
     for (std::size_t i = 0; i < instances.size(); ++i) {
       const Instance& instance = *instances[i];
@@ -178,6 +179,7 @@
     });
   }
 
+  /// Status of the last response to a call, given as "METHOD JOB", or -1 if there is none.
   int LastStatus(const std::string& call) const {
     const auto found = responses.find(call);
     return found == responses.end() ? -1 : found->second.back().status;
--- a/src/instance/cell_fault_schedule_test.cc
+++ b/src/instance/cell_fault_schedule_test.cc
@@ -89,9 +89,9 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, FaultScheduleTest, testing::Range(1U, 41U));
 
-// 106, 168: ends of a new incarnation of an upstream were acknowledged without being processed. 1390: a process that
-// had been paused sent an outdated start. 1972: the same with a repeated start. 1998 to 2000: ends were missed while
-// the upstream was unreachable.
+// Seeds of earlier failures. 106, 168: ends of a new incarnation of an upstream were acknowledged without being
+// processed. 1390: a process that had been paused sent an outdated start. 1972: the same with a repeated start. 1998 to
+// 2000: ends were missed while the upstream was unreachable.
 INSTANTIATE_TEST_SUITE_P(Regressions, FaultScheduleTest,
                          testing::Values(106U, 168U, 1390U, 1972U, 1998U, 1999U, 2000U));
 
--- a/src/instance/cell_instance.cc
+++ b/src/instance/cell_instance.cc
@@ -23,8 +23,8 @@
 constexpr Duration kReadyLeaderTimeout{800'000};
 /// A leader that has committed nothing for this time can't accept work. Longer than two transactions of a slow store.
 constexpr Duration kReadyStoreTimeout{1'200'000};
-/// Calls are relayed only to a leader with contact within this time, or within `kMissedHeartbeats` intervals if longer:
-/// whether a call sent into a network partition has run can't be known.
+/// Calls are relayed only to a leader that made contact within this time, or within `kMissedHeartbeats` heartbeat
+/// intervals if that is longer: the outcome of a call sent into a network partition would be unknown.
 constexpr Duration kLeaderContactTimeout{500'000};
 constexpr std::int64_t kMissedHeartbeats = 3;
 /// Timeout of a client that states none.
@@ -33,7 +33,7 @@
 /// timeouts.
 constexpr std::int64_t kResponseMarginMs = 120;
 constexpr std::int64_t kMarginDivisor = 4;  ///< the margin is at most the timeout divided by this
-/// No call of an ended term has a later deadline than this.
+/// An ended term is kept for this time, as open calls may refer to it. No call has a later deadline.
 constexpr Duration kEndedTermRetention{12'000'000};
 /// Time allowed beyond the expected duration of a policy call made by another instance.
 constexpr std::int64_t kPolicyMarginMs = 600;
--- a/src/instance/cell_takeover_test.cc
+++ b/src/instance/cell_takeover_test.cc
@@ -152,7 +152,7 @@
   ExpectNoViolation(cluster);
 }
 
-// Guards against exceeding a slow store: it takes 90 rows a transaction and 2.5 transactions a second.
+// Guards against overloading a slow store, which takes 90 rows a transaction and 2.5 transactions a second.
 TEST(CellTakeoverTest, SlowStoreHandlesBurstOfJobs) {
   constexpr int kJobs = 240;
   SimulatedCluster cluster(2, 12);
--- a/src/instance/cell_term.h
+++ b/src/instance/cell_term.h
@@ -36,6 +36,7 @@
 
   const GroupCommitter& committer() const { return m_committer; }
   const Scheduler& scheduler() const { return m_scheduler; }
+  /// Whether the jobs, the configuration and the upstream list are loaded, so that calls can be handled.
   bool is_loaded() const { return m_is_loaded; }
 
   // FeedListener
--- a/src/instance/relay.cc
+++ b/src/instance/relay.cc
@@ -9,8 +9,8 @@
 constexpr Duration kRetryDelay{80'000};
 /// An attempt without a response is repeated on another connection, as a broken connection may never report an error.
 constexpr Duration kAttemptTimeout{1'300'000};
-/// Without a leader for this time, this instance is partitioned and refuses calls at once. A takeover takes 0.4 to 0.9
-/// s, and the old leader counts as known for another 0.5 s.
+/// Without a leader for this time, this instance is partitioned and refuses calls at once. A takeover takes 0.4 to
+/// 0.9 s, and the old leader counts as known for another 0.5 s.
 constexpr Duration kNoLeaderTimeout{1'300'000};
 
 }  // namespace
--- a/src/jobs/cell_config.h
+++ b/src/jobs/cell_config.h
@@ -39,7 +39,7 @@
 
 struct TeamConfig {
   TeamId id;
-  double weight = 1;  ///< share under contention; jobs a second that always get a response
+  double weight = 1;  ///< share under contention; guaranteed admission rate in jobs/s
   Resources limit;    ///< maximum allocated at a time; 0 means no limit
 };
 
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -31,7 +31,7 @@
   kAssigned,  ///< resources are allocated; the start is sent once this is committed
   kStarting,  ///< the start was sent and may have been received
   kRunning,
-  kStopping,  ///< a stop was sent; keeps its allocation until the upstream lists the end
+  kStopping,  ///< a stop was sent; keeps its allocation until the upstream reports the end
   kDone,
 };
 
@@ -83,7 +83,7 @@
 /// One execution of a job; a scheduled job has several.
 struct Occurrence {
   std::vector<StepState> steps;  ///< empty until the occurrence is due
-  std::int64_t steps_left = 0;
+  std::int64_t steps_left = 0;   ///< steps that are not done
   bool is_done = false;
 };
 
