--- a/src/cell/group_committer.h
+++ b/src/cell/group_committer.h
@@ -14,7 +14,7 @@
 /// Writes for the next transaction.
 struct CommitBatch {
   std::vector<StateWrite> writes;
-  std::function<void()> committed;  ///< called after the writes are known to be committed
+  std::function<void()> on_committed;  ///< called after the writes are known to be committed
 };
 
 /// Commits the leader's writes in batches, one transaction at a time, each guarded by the version of the leader row.
@@ -27,8 +27,10 @@
   using BatchSource = std::function<CommitBatch()>;
 
   /// @param record the leader row as written by the takeover; `guard_version` is its version
+  /// @param on_deposed called when another leader has written the leader row; no transaction is sent from then on
+  /// @param request_tick called when a reply has arrived, which the next tick handles
   GroupCommitter(StateStore& store, LeaderRecord record, std::int64_t guard_version, BatchSource collect,
-                 std::function<void()> deposed, std::function<void()> request_tick);
+                 std::function<void()> on_deposed, std::function<void()> request_tick);
 
   /// Requests a transaction at the next opportunity.
   void MarkDirty() { m_is_dirty = true; }
@@ -49,6 +51,7 @@
   Time confirmed_at() const { return m_confirmed_at; }
   /// Whether the store has not replied or has refused transactions for longer than `bound`.
   bool IsStalled(Time now, Duration bound) const { return m_failing_since && now - *m_failing_since > bound; }
+  /// Store clock at `now` in ms, extrapolated from the last reply.
   std::int64_t store_now_ms(Time now) const { return m_store_now_ms + ToMillis(now - m_store_now_at); }
 
  private:
@@ -61,10 +64,10 @@
   LeaderRecord m_committed_record;  ///< as of the last transaction that took effect
   std::int64_t m_guard_version;
   const BatchSource m_collect;
-  const std::function<void()> m_deposed;
+  const std::function<void()> m_on_deposed;
   const std::function<void()> m_request_tick;
   std::optional<StateTransaction> m_transaction;  ///< sent and not known to have taken effect
-  std::function<void()> m_committed;
+  std::function<void()> m_on_committed;
   bool m_in_flight = false;
   bool m_is_dirty = true;
   bool m_is_deposed = false;
