--- a/src/net/blocking_http_client.cc
+++ b/src/net/blocking_http_client.cc
@@ -20,7 +20,7 @@
   std::promise<HttpResult> promise;
   std::future<HttpResult> result = promise.get_future();
   m_client->Send(address, std::move(request), std::chrono::steady_clock::now() + timeout,
-                 [&promise](HttpResult answer) { promise.set_value(std::move(answer)); });
+                 [&promise](HttpResult http_result) { promise.set_value(std::move(http_result)); });
   return result.get();
 }
 
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -40,7 +40,7 @@
   std::size_t max_response_bytes = 64U << 20U;
   std::chrono::milliseconds connect_timeout{3'000};
   /// Whether a missed deadline also closes the idle connections of the address: they may be silent as well.
-  bool drops_idle_after_silence = false;
+  bool closes_idle_on_timeout = false;
   std::chrono::milliseconds idle_timeout{20'000};  ///< shorter than that of the server, so that reuse rarely fails
   std::shared_ptr<TlsContext> tls;                 ///< plain HTTP when empty
 };
--- a/src/net/http_client_host.cc
+++ b/src/net/http_client_host.cc
@@ -9,16 +9,16 @@
 namespace jaymast {
 
 HttpClientHost::HttpClientHost(boost::asio::io_context& context, std::string address, const HttpClientOptions& options)
-    : m_context(context), m_address(std::move(address)), m_options(options), m_sweep_timer(context) {}
+    : m_context(context), m_address(std::move(address)), m_options(options), m_idle_sweep_timer(context) {}
 
 void HttpClientHost::Send(HttpRequest request, HttpClient::Deadline deadline, HttpClient::Callback done) {
   const auto pending = std::make_shared<PendingRequest>(m_context, std::move(request), std::move(done));
-  if (m_waiting.size() >= m_options.max_queued_per_host) {
+  if (m_queued.size() >= m_options.max_queued_per_host) {
     return Complete(*pending, HttpResult{SendStatus::kNotSent, {}, m_address + ": too many requests wait"});
   }
   StartTimer(pending, deadline);
-  m_waiting.push_back(pending);
-  Pump();
+  m_queued.push_back(pending);
+  DispatchQueued();
 }
 
 void HttpClientHost::Complete(PendingRequest& pending, HttpResult result) {
@@ -30,27 +30,27 @@
 }
 
 void HttpClientHost::OnConnected(const std::shared_ptr<HttpClientConnection>& connection) {
-  --m_connecting;
+  --m_connecting_count;
   OnIdle(connection);
 }
 
 void HttpClientHost::OnIdle(const std::shared_ptr<HttpClientConnection>& connection) {
   m_idle.push_back(connection);
-  StartSweep();
-  Pump();
+  ScheduleIdleSweep();
+  DispatchQueued();
 }
 
 void HttpClientHost::OnConnectFailed(const std::string& reason) {
-  --m_connecting;
-  if (m_waiting.empty()) return;
-  const PendingPtr pending = m_waiting.front();
-  m_waiting.pop_front();
+  --m_connecting_count;
+  if (m_queued.empty()) return;
+  const PendingPtr pending = m_queued.front();
+  m_queued.pop_front();
   Complete(*pending, HttpResult{SendStatus::kNotSent, {}, reason});
 }
 
 void HttpClientHost::OnClosed() {
-  --m_open;
-  Pump();
+  --m_open_count;
+  DispatchQueued();
 }
 
 void HttpClientHost::StartTimer(const PendingPtr& pending, HttpClient::Deadline deadline) {
@@ -62,27 +62,27 @@
 
 void HttpClientHost::OnDeadline(const PendingPtr& pending) {
   if (pending->is_complete) return;
-  const auto waiting = std::find(m_waiting.begin(), m_waiting.end(), pending);
-  if (waiting != m_waiting.end()) {
-    m_waiting.erase(waiting);
+  const auto queued = std::find(m_queued.begin(), m_queued.end(), pending);
+  if (queued != m_queued.end()) {
+    m_queued.erase(queued);
     return Complete(*pending, HttpResult{SendStatus::kNotSent, {}, m_address + ": no connection before the deadline"});
   }
   Complete(*pending, HttpResult{SendStatus::kUnknown, {}, m_address + ": no response before the deadline"});
   if (const auto connection = pending->connection.lock()) connection->Close();
-  if (!m_options.drops_idle_after_silence) return;
+  if (!m_options.closes_idle_on_timeout) return;
   const auto idle = std::exchange(m_idle, {});
   for (const auto& other : idle) other->Close();
 }
 
-void HttpClientHost::Pump() {
-  while (!m_waiting.empty()) {
+void HttpClientHost::DispatchQueued() {
+  while (!m_queued.empty()) {
     const std::shared_ptr<HttpClientConnection> connection = TakeIdle();
     if (connection == nullptr) break;
-    const PendingPtr pending = m_waiting.front();
-    m_waiting.pop_front();
+    const PendingPtr pending = m_queued.front();
+    m_queued.pop_front();
     connection->Send(pending);
   }
-  while (m_connecting < m_waiting.size() && m_open < m_options.max_connections_per_host) Connect();
+  while (m_connecting_count < m_queued.size() && m_open_count < m_options.max_connections_per_host) Connect();
 }
 
 std::shared_ptr<HttpClientConnection> HttpClientHost::TakeIdle() {
@@ -98,36 +98,36 @@
 void HttpClientHost::Connect() {
   const auto endpoint = ParseEndpoint(m_address);
   if (!endpoint) {
-    const std::deque<PendingPtr> waiting = std::exchange(m_waiting, {});
-    for (const PendingPtr& pending : waiting) {
+    const std::deque<PendingPtr> queued = std::exchange(m_queued, {});
+    for (const PendingPtr& pending : queued) {
       Complete(*pending, HttpResult{SendStatus::kNotSent, {}, m_address + ": " + endpoint.error().reason});
     }
     return;
   }
-  ++m_open;
-  ++m_connecting;
+  ++m_open_count;
+  ++m_connecting_count;
   HttpClientConnection::Make(shared_from_this())->Connect(*endpoint);
 }
 
-void HttpClientHost::StartSweep() {
-  if (m_is_sweeping) return;
-  m_is_sweeping = true;
-  m_sweep_timer.expires_after(m_options.idle_timeout);
-  m_sweep_timer.async_wait([weak = weak_from_this()](boost::system::error_code ec) {
+void HttpClientHost::ScheduleIdleSweep() {
+  if (m_is_idle_sweep_scheduled) return;
+  m_is_idle_sweep_scheduled = true;
+  m_idle_sweep_timer.expires_after(m_options.idle_timeout);
+  m_idle_sweep_timer.async_wait([weak = weak_from_this()](boost::system::error_code ec) {
     const auto self = weak.lock();
-    if (!ec && self) self->Sweep();
+    if (!ec && self) self->CloseExpiredIdle();
   });
 }
 
-void HttpClientHost::Sweep() {
-  m_is_sweeping = false;
+void HttpClientHost::CloseExpiredIdle() {
+  m_is_idle_sweep_scheduled = false;
   const auto oldest = std::chrono::steady_clock::now() - m_options.idle_timeout;
-  const auto keep = std::find_if(m_idle.begin(), m_idle.end(),
-                                 [oldest](const auto& connection) { return connection->idle_since() > oldest; });
-  const std::vector<std::shared_ptr<HttpClientConnection>> expired(m_idle.begin(), keep);
-  m_idle.erase(m_idle.begin(), keep);
+  const auto first_kept = std::find_if(m_idle.begin(), m_idle.end(),
+                                       [oldest](const auto& connection) { return connection->idle_since() > oldest; });
+  const std::vector<std::shared_ptr<HttpClientConnection>> expired(m_idle.begin(), first_kept);
+  m_idle.erase(m_idle.begin(), first_kept);
   for (const auto& connection : expired) connection->Close();
-  if (!m_idle.empty()) StartSweep();
+  if (!m_idle.empty()) ScheduleIdleSweep();
 }
 
 }  // namespace jaymast
--- a/src/net/http_client_host.h
+++ b/src/net/http_client_host.h
@@ -58,21 +58,21 @@
 
   void StartTimer(const PendingPtr& pending, HttpClient::Deadline deadline);
   void OnDeadline(const PendingPtr& pending);
-  void Pump();
+  void DispatchQueued();
   std::shared_ptr<HttpClientConnection> TakeIdle();
   void Connect();
-  void StartSweep();
-  void Sweep();
+  void ScheduleIdleSweep();
+  void CloseExpiredIdle();
 
   boost::asio::io_context& m_context;
   const std::string m_address;
   const HttpClientOptions m_options;
-  std::deque<PendingPtr> m_waiting;
+  std::deque<PendingPtr> m_queued;
   std::vector<std::shared_ptr<HttpClientConnection>> m_idle;  ///< the last one was used most recently
-  boost::asio::steady_timer m_sweep_timer;
-  bool m_is_sweeping = false;
-  std::size_t m_open = 0;
-  std::size_t m_connecting = 0;
+  boost::asio::steady_timer m_idle_sweep_timer;
+  bool m_is_idle_sweep_scheduled = false;
+  std::size_t m_open_count = 0;
+  std::size_t m_connecting_count = 0;
 };
 
 }  // namespace jaymast
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -15,7 +15,7 @@
 using Tcp = boost::asio::ip::tcp;
 using boost::beast::tcp_stream;
 
-constexpr std::chrono::milliseconds kAcceptPause{50};
+constexpr std::chrono::milliseconds kAcceptRetryDelay{50};
 
 /// Keeps the parameters of a connection alive, because a reload replaces them in the server.
 struct TlsStream : boost::beast::ssl_stream<tcp_stream> {
@@ -25,8 +25,8 @@
 };
 
 /// Answers with a refusal that says "not run", and closes the connection.
-void RefuseConnection(Tcp::socket socket) {
-  static const std::string kRefusal = [] {
+void RejectConnection(Tcp::socket socket) {
+  static const std::string kRejection = [] {
     const HttpResponse problem =
         ProblemResponse(503, Error{ErrorId::kQueueFull, "connection", "too many connections"}, Verdict::kNotRun);
     return "HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/problem+json\r\nJaymast-Verdict: not_run\r\n"
@@ -35,29 +35,29 @@
   }();
   boost::system::error_code ignored;
   socket.non_blocking(true, ignored);
-  socket.write_some(boost::asio::buffer(kRefusal), ignored);
+  socket.write_some(boost::asio::buffer(kRejection), ignored);
   socket.shutdown(Tcp::socket::shutdown_send, ignored);
 }
 
 class Acceptor : public std::enable_shared_from_this<Acceptor> {
  public:
   explicit Acceptor(std::shared_ptr<HttpServerState> shared)
-      : m_shared(std::move(shared)), m_pause(m_shared->acceptor.get_executor()) {}
+      : m_shared(std::move(shared)), m_retry_timer(m_shared->acceptor.get_executor()) {}
 
   void Accept() {
     m_shared->acceptor.async_accept([self = shared_from_this()](boost::system::error_code ec, Tcp::socket socket) {
       if (!ec) self->Serve(std::move(socket));
       if (self->m_shared->is_shutting_down) return self->Drain();
-      if (ec) return self->AcceptLater();
+      if (ec) return self->RetryAccept();
       self->Accept();
     });
   }
 
  private:
   /// Waits before the next attempt, because accept fails at once while the process is out of descriptors.
-  void AcceptLater() {
-    m_pause.expires_after(kAcceptPause);
-    m_pause.async_wait([self = shared_from_this()](boost::system::error_code) {
+  void RetryAccept() {
+    m_retry_timer.expires_after(kAcceptRetryDelay);
+    m_retry_timer.async_wait([self = shared_from_this()](boost::system::error_code) {
       if (self->m_shared->is_shutting_down) return self->Drain();
       self->Accept();
     });
@@ -79,7 +79,7 @@
     socket.set_option(Tcp::no_delay(true), ignored);
     if (IsFull()) {
       ++m_shared->refused;
-      return RefuseConnection(std::move(socket));
+      return RejectConnection(std::move(socket));
     }
     auto& context = m_shared->pool.Context(m_next++);
     const auto protocol = socket.local_endpoint(ignored).protocol();
@@ -104,7 +104,7 @@
   }
 
   const std::shared_ptr<HttpServerState> m_shared;
-  boost::asio::steady_timer m_pause;
+  boost::asio::steady_timer m_retry_timer;
   std::size_t m_next = 0;
 };
 
@@ -162,7 +162,7 @@
     shared->acceptor.cancel(ignored);
   });
   const std::lock_guard lock(m_shared->mutex);
-  for (const auto& [key, connection] : m_shared->connections) connection->Finish();
+  for (const auto& [key, connection] : m_shared->connections) connection->CloseGracefully();
 }
 
 bool HttpServer::WaitForShutdown(std::chrono::milliseconds timeout) {
--- a/src/net/http_server_connection.h
+++ b/src/net/http_server_connection.h
@@ -31,7 +31,7 @@
   HttpServerConnection(std::shared_ptr<HttpServerState> shared, Stream stream)
       : m_shared(std::move(shared)),
         m_stream(std::move(stream)),
-        m_finish_timer(boost::beast::get_lowest_layer(m_stream).get_executor()) {}
+        m_shutdown_timer(boost::beast::get_lowest_layer(m_stream).get_executor()) {}
 
   /// Serves requests until the connection is closed. Must run on the thread of the connection.
   void Run() {
@@ -50,7 +50,7 @@
     boost::asio::post(Lowest().get_executor(), [self = Self()] { self->Close(); });
   }
 
-  void Finish() override {
+  void CloseGracefully() override {
     boost::asio::post(Lowest().get_executor(), [self = Self()] { self->CloseWhenIdle(); });
   }
 
@@ -70,7 +70,7 @@
   static constexpr bool kIsTls = !std::is_same_v<Stream, boost::beast::tcp_stream>;
   static constexpr std::size_t kReadChunkBytes = 8192;
   /// A request that a caller sent before it saw the end of the connection still gets its response within this time.
-  static constexpr std::chrono::milliseconds kFinishGrace{250};
+  static constexpr std::chrono::milliseconds kShutdownGracePeriod{250};
 
   auto Self() { return this->shared_from_this(); }
   boost::beast::tcp_stream& Lowest() { return boost::beast::get_lowest_layer(m_stream); }
@@ -81,7 +81,7 @@
     m_parser->body_limit(m_shared->options.max_body_bytes);
     if (m_buffer.size() > 0) return ReadHeader();
     m_is_idle = true;
-    Lowest().expires_after(m_shared->is_shutting_down ? kFinishGrace : m_shared->options.idle_timeout);
+    Lowest().expires_after(m_shared->is_shutting_down ? kShutdownGracePeriod : m_shared->options.idle_timeout);
     m_stream.async_read_some(m_buffer.prepare(kReadChunkBytes), [self = Self()](ErrorCode ec, std::size_t size) {
       self->m_is_idle = false;
       if (ec) return self->Close();
@@ -93,7 +93,7 @@
   void ReadHeader() {
     Lowest().expires_after(m_shared->options.header_timeout);
     boost::beast::http::async_read_header(m_stream, m_buffer, *m_parser, [self = Self()](ErrorCode ec, std::size_t) {
-      if (ec) return self->Refuse(ec);
+      if (ec) return self->RejectRequest(ec);
       self->AcceptBody();
     });
   }
@@ -113,7 +113,7 @@
     if (m_parser->is_done()) return Dispatch();
     Lowest().expires_after(m_shared->options.body_timeout);
     boost::beast::http::async_read(m_stream, m_buffer, *m_parser, [self = Self()](ErrorCode ec, std::size_t) {
-      if (ec) return self->Refuse(ec);
+      if (ec) return self->RejectRequest(ec);
       self->Dispatch();
     });
   }
@@ -138,17 +138,17 @@
     Lowest().socket().async_wait(boost::asio::ip::tcp::socket::wait_read,
                                  [self = Self(), sequence = m_sequence + 1](ErrorCode ec) {
                                    if (ec || !self->m_is_waiting_for_response || self->m_sequence != sequence) return;
-                                   if (self->IsClosedByCaller()) self->Close();
+                                   if (self->IsClosedByClient()) self->Close();
                                  });
   }
 
-  bool IsClosedByCaller() {
+  bool IsClosedByClient() {
     std::array<char, 1> byte{};
     const ssize_t size = ::recv(Lowest().socket().native_handle(), byte.data(), byte.size(), MSG_PEEK | MSG_DONTWAIT);
     return size == 0 || (size < 0 && errno != EAGAIN && errno != EINTR);
   }
 
-  void Refuse(ErrorCode ec) {
+  void RejectRequest(ErrorCode ec) {
     namespace http = boost::beast::http;
     if (ec == http::error::body_limit) return SendProblem(413, ErrorId::kInputTooLarge, "body too large");
     if (ec == http::error::header_limit) return SendProblem(431, ErrorId::kInputTooLarge, "header too large");
@@ -181,8 +181,8 @@
   }
 
   void CloseWhenIdle() {
-    m_finish_timer.expires_after(kFinishGrace);
-    m_finish_timer.async_wait([self = Self()](ErrorCode ec) {
+    m_shutdown_timer.expires_after(kShutdownGracePeriod);
+    m_shutdown_timer.async_wait([self = Self()](ErrorCode ec) {
       if (!ec && self->m_is_idle) self->Close();
     });
   }
@@ -193,7 +193,7 @@
     ErrorCode ignored;
     Lowest().socket().shutdown(boost::asio::ip::tcp::socket::shutdown_both, ignored);
     Lowest().close();
-    m_finish_timer.cancel();
+    m_shutdown_timer.cancel();
     const bool was_waiting = std::exchange(m_is_waiting_for_response, false);
     const auto on_gone = std::exchange(m_on_gone, nullptr);
     if (was_waiting && on_gone) on_gone();
@@ -202,7 +202,7 @@
 
   const std::shared_ptr<HttpServerState> m_shared;
   Stream m_stream;
-  boost::asio::steady_timer m_finish_timer;
+  boost::asio::steady_timer m_shutdown_timer;
   boost::beast::flat_buffer m_buffer;
   std::optional<Parser> m_parser;
   boost::beast::http::response<boost::beast::http::string_body> m_response;
--- a/src/net/http_server_state.h
+++ b/src/net/http_server_state.h
@@ -24,7 +24,7 @@
   virtual void Abort() = 0;
 
   /// Closes the connection after the request in flight, or soon if there is none. May be called from any thread.
-  virtual void Finish() = 0;
+  virtual void CloseGracefully() = 0;
 };
 
 /// State shared by a server and its connections.
@@ -39,7 +39,7 @@
     const std::lock_guard lock(mutex);
     if (is_destroyed) return connection->Abort();
     connections.emplace(connection.get(), connection);
-    if (is_shutting_down) connection->Finish();
+    if (is_shutting_down) connection->CloseGracefully();
   }
 
   void Remove(HttpConnection* connection) {
--- a/src/net/http_test.cc
+++ b/src/net/http_test.cc
@@ -23,7 +23,7 @@
 using Tcp = boost::asio::ip::tcp;
 
 /// Upper bound of a wait for something that must happen. Tests do not depend on how fast it happens.
-constexpr milliseconds kPatience{20'000};
+constexpr milliseconds kTestTimeout{20'000};
 
 void Echo(const HttpRequest& request, const HttpResponder& responder) {
   HttpResponse response;
@@ -42,10 +42,10 @@
   Tcp::socket socket(context);
   socket.connect(*ParseEndpoint(address));
   boost::asio::write(socket, boost::asio::buffer(bytes));
-  std::string answer;
+  std::string received_bytes;
   boost::system::error_code ec;
-  boost::asio::read(socket, boost::asio::dynamic_buffer(answer), ec);
-  return answer;
+  boost::asio::read(socket, boost::asio::dynamic_buffer(received_bytes), ec);
+  return received_bytes;
 }
 
 class HttpTest : public testing::Test {
@@ -67,7 +67,7 @@
   BlockingHttpClient client;
   for (const std::size_t size : {0U, 1U, 100'000U, 3'000'000U}) {
     const std::string body(size, 'x');
-    const HttpResult result = client.Call(m_server->address(), Post("/a?b=c", body), kPatience);
+    const HttpResult result = client.Call(m_server->address(), Post("/a?b=c", body), kTestTimeout);
     ASSERT_EQ(result.status, SendStatus::kAnswered) << result.reason;
     EXPECT_EQ(result.response.body, body);
     EXPECT_EQ(FindHeader(result.response.headers, "echo-target"), "POST /a?b=c");
@@ -82,7 +82,7 @@
   Tcp::acceptor reserved(context, Tcp::v4());
   reserved.bind(Tcp::endpoint(boost::asio::ip::make_address("127.0.0.1"), 0));
   BlockingHttpClient client;
-  const HttpResult result = client.Call(FormatEndpoint(reserved.local_endpoint()), Post("/", "x"), kPatience);
+  const HttpResult result = client.Call(FormatEndpoint(reserved.local_endpoint()), Post("/", "x"), kTestTimeout);
   EXPECT_EQ(result.status, SendStatus::kNotSent) << result.reason;
 }
 
@@ -96,7 +96,7 @@
     socket.read_some(boost::asio::buffer(bytes));
   });
   BlockingHttpClient client;
-  EXPECT_EQ(client.Call(address, Post("/", "x"), kPatience).status, SendStatus::kUnknown);
+  EXPECT_EQ(client.Call(address, Post("/", "x"), kTestTimeout).status, SendStatus::kUnknown);
   server.get();
 }
 
@@ -116,7 +116,7 @@
   EXPECT_EQ(first.get_future().get().status, SendStatus::kUnknown);
   late.get_future().get().Respond(HttpResponse{200, {}, "late"});
   std::promise<HttpResult> second;
-  client.Send(m_server->address(), Post("/", "second"), std::chrono::steady_clock::now() + kPatience,
+  client.Send(m_server->address(), Post("/", "second"), std::chrono::steady_clock::now() + kTestTimeout,
               [&second](HttpResult result) { second.set_value(std::move(result)); });
   EXPECT_EQ(second.get_future().get().response.body, "second");
 }
@@ -140,7 +140,7 @@
   for (int round = 0; round < 5; ++round) {
     std::vector<std::promise<HttpResult>> results(kRequests);
     for (int i = 0; i < kRequests; ++i) {
-      client.Send(m_server->address(), Post("/", std::to_string(i)), std::chrono::steady_clock::now() + kPatience,
+      client.Send(m_server->address(), Post("/", std::to_string(i)), std::chrono::steady_clock::now() + kTestTimeout,
                   [&results, i](HttpResult result) { results[i].set_value(std::move(result)); });
     }
     for (int i = 0; i < kRequests; ++i) EXPECT_EQ(results[i].get_future().get().response.body, std::to_string(i));
@@ -192,7 +192,7 @@
   options.max_connections = 1;
   Listen(Echo, options);
   BlockingHttpClient client;
-  ASSERT_EQ(client.Call(m_server->address(), Post("/", "x"), kPatience).response.status, 200);
+  ASSERT_EQ(client.Call(m_server->address(), Post("/", "x"), kTestTimeout).response.status, 200);
   EXPECT_NE(RawExchange(m_server->address(), "").find("503"), std::string::npos);
   EXPECT_EQ(m_server->refused_connections(), 1U);
 }
@@ -204,7 +204,7 @@
   HttpClient client(m_pool, {});
   client.Send(m_server->address(), Post("/", ""), std::chrono::steady_clock::now() + milliseconds(50),
               [](const HttpResult&) {});
-  EXPECT_EQ(gone.get_future().wait_for(kPatience), std::future_status::ready);
+  EXPECT_EQ(gone.get_future().wait_for(kTestTimeout), std::future_status::ready);
 }
 
 // Guards G10: a planned stop must not cut a request that was received.
@@ -213,14 +213,14 @@
   Listen([&received](const HttpRequest&, const HttpResponder& responder) { received.set_value(responder); });
   std::future<HttpResult> result = std::async(std::launch::async, [this] {
     BlockingHttpClient client;
-    return client.Call(m_server->address(), Post("/", "x"), kPatience);
+    return client.Call(m_server->address(), Post("/", "x"), kTestTimeout);
   });
   const HttpResponder responder = received.get_future().get();
   m_server->BeginShutdown();
   EXPECT_FALSE(m_server->WaitForShutdown(milliseconds(10)));
   responder.Respond(HttpResponse{200, {}, "finished"});
   EXPECT_EQ(result.get().response.body, "finished");
-  EXPECT_TRUE(m_server->WaitForShutdown(kPatience));
+  EXPECT_TRUE(m_server->WaitForShutdown(kTestTimeout));
 }
 
 TEST_F(HttpTest, PortInUseIsAnErrorWithTheAddress) {
--- a/src/net/incoming_link.cc
+++ b/src/net/incoming_link.cc
@@ -10,7 +10,7 @@
 namespace jaymast {
 namespace {
 
-constexpr std::size_t kChunkBytes = 64U << 10U;
+constexpr std::size_t kReadBufferBytes = 64U << 10U;
 
 std::string RemoteAddress(const boost::asio::ip::tcp::socket& socket) {
   boost::system::error_code ignored;
@@ -23,7 +23,7 @@
     : m_state(std::move(state)),
       m_remote(RemoteAddress(socket)),
       m_stream(PeerStream::Make(std::move(socket), m_state->options.server_tls)),
-      m_chunk(kChunkBytes) {}
+      m_read_buffer(kReadBufferBytes) {}
 
 void IncomingLink::Start() {
   m_stream->Accept(m_state->options.connect_timeout, [self = shared_from_this()](boost::system::error_code ec) {
@@ -40,31 +40,31 @@
 }
 
 void IncomingLink::Read() {
-  m_stream->ReadSome(boost::asio::buffer(m_chunk), m_state->options.silence_timeout,
+  m_stream->ReadSome(boost::asio::buffer(m_read_buffer), m_state->options.idle_timeout,
                      [self = shared_from_this()](boost::system::error_code ec, std::size_t size) {
                        if (ec) return self->Close();
-                       self->m_buffer.append(self->m_chunk.data(), size);
-                       self->TakeFrames();
+                       self->m_pending_bytes.append(self->m_read_buffer.data(), size);
+                       self->ProcessFrames();
                        if (!self->m_is_closed) self->Read();
                      });
 }
 
-void IncomingLink::TakeFrames() {
-  std::size_t taken = 0;
-  while (m_buffer.size() - taken >= kFrameLengthBytes) {
-    const std::string_view rest = std::string_view(m_buffer).substr(taken);
-    const std::size_t length = DecodeFrameLength(rest);
+void IncomingLink::ProcessFrames() {
+  std::size_t consumed = 0;
+  while (m_pending_bytes.size() - consumed >= kFrameLengthBytes) {
+    const std::string_view unread = std::string_view(m_pending_bytes).substr(consumed);
+    const std::size_t length = DecodeFrameLength(unread);
     if (length > m_state->options.max_frame_bytes) {
       return CloseMalformed({ErrorId::kInputTooLarge, "length", std::to_string(length) + " bytes"});
     }
-    if (rest.size() < kFrameLengthBytes + length) break;
-    if (!TakeFrame(rest.substr(kFrameLengthBytes, length))) return;
-    taken += kFrameLengthBytes + length;
+    if (unread.size() < kFrameLengthBytes + length) break;
+    if (!ProcessFrame(unread.substr(kFrameLengthBytes, length))) return;
+    consumed += kFrameLengthBytes + length;
   }
-  m_buffer.erase(0, taken);
+  m_pending_bytes.erase(0, consumed);
 }
 
-bool IncomingLink::TakeFrame(std::string_view bytes) {
+bool IncomingLink::ProcessFrame(std::string_view bytes) {
   m_frame.assign(bytes);
   Result<PeerFrame> frame = DecodeFrame(m_frame);
   if (!frame) {
--- a/src/net/incoming_link.h
+++ b/src/net/incoming_link.h
@@ -26,8 +26,8 @@
   void Read();
 
   /// Takes all complete frames from the buffer. Closes the link at the first bad one.
-  void TakeFrames();
-  bool TakeFrame(std::string_view bytes);
+  void ProcessFrames();
+  bool ProcessFrame(std::string_view bytes);
   bool OnHello(const PeerHello& hello);
   bool OnMessage(PeerMessage message);
   void CloseMalformed(const Error& error);
@@ -35,10 +35,10 @@
   const std::shared_ptr<PeerLinksState> m_state;
   const std::string m_remote;
   const std::shared_ptr<PeerStream> m_stream;
-  std::vector<char> m_chunk;
-  std::string m_buffer;  ///< received bytes that do not form a complete frame yet
-  std::string m_frame;   ///< aligned copy of the frame that is decoded
-  EntryId m_from;        ///< empty before the hello
+  std::vector<char> m_read_buffer;
+  std::string m_pending_bytes;  ///< received bytes that do not form a complete frame yet
+  std::string m_frame;          ///< aligned copy of the frame that is decoded
+  EntryId m_from;               ///< empty before the hello
   bool m_is_closed = false;
 };
 
--- a/src/net/outgoing_link.cc
+++ b/src/net/outgoing_link.cc
@@ -30,7 +30,7 @@
   m_stream->Connect(*endpoint, m_state->options.connect_timeout,
                     [self = shared_from_this(), stream = m_stream](boost::system::error_code ec) {
                       if (self->m_is_closed) return;
-                      if (ec) return self->Fail();
+                      if (ec) return self->ScheduleReconnect();
                       self->OnConnected();
                     });
 }
@@ -62,14 +62,14 @@
   m_stream->Write(boost::asio::buffer(m_writing), m_state->options.send_timeout,
                   [self = shared_from_this(), stream = m_stream](boost::system::error_code ec) {
                     if (self->m_is_closed) return;
-                    if (ec) return self->Fail();
+                    if (ec) return self->ScheduleReconnect();
                     self->m_backoff = self->m_state->options.min_backoff;
                     self->m_writing.clear();
                     if (!self->m_queue.empty()) self->Write();
                   });
 }
 
-void OutgoingLink::Fail() {
+void OutgoingLink::ScheduleReconnect() {
   m_is_connected = false;
   m_stream->Close();
   // Frames are only useful while they are fresh, so they do not wait for the next connection.
--- a/src/net/outgoing_link.h
+++ b/src/net/outgoing_link.h
@@ -26,7 +26,7 @@
  private:
   void OnConnected();
   void Write();
-  void Fail();
+  void ScheduleReconnect();
   std::chrono::milliseconds NextBackoff();
 
   const std::shared_ptr<PeerLinksState> m_state;
--- a/src/net/peer_codec.cc
+++ b/src/net/peer_codec.cc
@@ -18,10 +18,10 @@
 constexpr std::size_t kBitsPerByte = 8;
 
 /// Largest amount of a resource in a message, of either sign. Sums over all upstreams and tasks do not overflow.
-constexpr std::int64_t kMaxAmount = std::int64_t{1} << 40U;
+constexpr std::int64_t kMaxResourceAmount = std::int64_t{1} << 40U;
 
 /// Largest span of time in a message, of either sign: 100 years in milliseconds. It fits into microseconds.
-constexpr std::int64_t kMaxSpanMs = 100LL * 365 * 24 * 3600 * 1000;
+constexpr std::int64_t kMaxDurationMs = 100LL * 365 * 24 * 3600 * 1000;
 
 wire::Resources ToWire(const Resources& resources) {
   return {resources.cpu_millis, resources.memory_mb, resources.accelerators, resources.slots};
@@ -138,13 +138,13 @@
   Summary Read(const wire::Summary& m) {
     return {DomainId(m.domain()->str()),
             m.serving(),
-            Amounts(*m.free(), "free"),
-            Amounts(*m.largest_free(), "largest_free"),
+            ReadResources(*m.free(), "free"),
+            ReadResources(*m.largest_free(), "largest_free"),
             Counter(m.config_version(), "config_version"),
             Counter(m.handovers(), "handovers")};
   }
   RunRequest Read(const wire::RunRequest& m) {
-    return {m.call(), Spec(*m.spec()), Counter(m.attempt(), "attempt"), Span(m.remaining_ms(), "remaining_ms"),
+    return {m.call(), Spec(*m.spec()), Counter(m.attempt(), "attempt"), DurationMs(m.remaining_ms(), "remaining_ms"),
             Counter(m.config_version(), "config_version")};
   }
   RunReply Read(const wire::RunReply& m) {
@@ -169,7 +169,7 @@
   ReleaseHold Read(const wire::ReleaseHold& m) { return {Attempt(*m.id())}; }
   TaskResult Read(const wire::TaskResult& m) {
     return {Attempt(*m.id()), Enum<Outcome>(m.outcome(), "outcome"), UpstreamId(m.upstream()->str()),
-            Span(m.run_ms(), "run_ms"), m.output()->str()};
+            DurationMs(m.run_ms(), "run_ms"), m.output()->str()};
   }
   TaskResultAck Read(const wire::TaskResultAck& m) { return {Attempt(*m.id())}; }
   TaskProbe Read(const wire::TaskProbe& m) {
@@ -179,10 +179,10 @@
   StopOrder Read(const wire::StopOrder& m) { return {Attempt(*m.id()), Enum<StopMode>(m.mode(), "mode")}; }
   ConfigPush Read(const wire::ConfigPush& m) { return {m.config()->str()}; }
   AllotmentRequest Read(const wire::AllotmentRequest& m) {
-    return {TeamId(m.team()->str()), Within(m.amount(), kMaxAmount, "amount")};
+    return {TeamId(m.team()->str()), CheckRange(m.amount(), kMaxResourceAmount, "amount")};
   }
   TaskQuery Read(const wire::TaskQuery& m) {
-    return {m.call(), TaskId(m.task()->str()), TeamId(m.team()->str()), m.cancel(), Span(m.wait_ms(), "wait_ms")};
+    return {m.call(), TaskId(m.task()->str()), TeamId(m.team()->str()), m.cancel(), DurationMs(m.wait_ms(), "wait_ms")};
   }
   TaskQueryReply Read(const wire::TaskQueryReply& m) {
     return {m.call(), m.status(), Enum<Verdict>(m.verdict(), "verdict"), Enum<ErrorId>(m.error(), "error"),
@@ -197,21 +197,21 @@
     return E{};
   }
 
-  std::int64_t Within(std::int64_t value, std::int64_t bound, const char* field) {
+  std::int64_t CheckRange(std::int64_t value, std::int64_t bound, const char* field) {
     if (value >= -bound && value <= bound) return value;
     if (!m_error) m_error = Error{ErrorId::kInputField, field, "out of range: " + std::to_string(value)};
     return 0;
   }
-  std::int64_t Counter(std::int64_t value, const char* field) { return Within(value, kMaxCounter, field); }
-  std::int64_t Span(std::int64_t value, const char* field) { return Within(value, kMaxSpanMs, field); }
+  std::int64_t Counter(std::int64_t value, const char* field) { return CheckRange(value, kMaxCounter, field); }
+  std::int64_t DurationMs(std::int64_t value, const char* field) { return CheckRange(value, kMaxDurationMs, field); }
 
-  Resources Amounts(const wire::Resources& r, const char* field) {
-    return {Within(r.cpu_millis(), kMaxAmount, field), Within(r.memory_mb(), kMaxAmount, field),
-            Within(r.accelerators(), kMaxAmount, field), Within(r.slots(), kMaxAmount, field)};
+  Resources ReadResources(const wire::Resources& r, const char* field) {
+    return {CheckRange(r.cpu_millis(), kMaxResourceAmount, field), CheckRange(r.memory_mb(), kMaxResourceAmount, field),
+            CheckRange(r.accelerators(), kMaxResourceAmount, field), CheckRange(r.slots(), kMaxResourceAmount, field)};
   }
 
   Resources Demand(const wire::Resources& r) {
-    const Resources demand = Amounts(r, "demand");
+    const Resources demand = ReadResources(r, "demand");
     if (!Resources().FitsIn(demand) && !m_error) m_error = Error{ErrorId::kInputField, "demand", "negative amount"};
     return demand;
   }
@@ -226,7 +226,7 @@
     spec.work_class = Enum<WorkClass>(m.work_class(), "work_class");
     spec.semantics = Enum<Semantics>(m.semantics(), "semantics");
     spec.demand = Demand(*m.demand());
-    spec.declared_run_ms = Span(m.declared_run_ms(), "declared_run_ms");
+    spec.declared_run_ms = DurationMs(m.declared_run_ms(), "declared_run_ms");
     spec.body = m.body()->str();
     spec.idempotency_key = m.idempotency_key()->str();
     spec.gang = GangId(m.gang()->str());
--- a/src/net/peer_links.h
+++ b/src/net/peer_links.h
@@ -23,8 +23,8 @@
   std::size_t max_queued_bytes = 64U << 20U;  ///< per peer; frames beyond it are dropped
   std::size_t max_incoming_links = 1024;
   std::chrono::milliseconds connect_timeout{2'000};
-  std::chrono::milliseconds send_timeout{5'000};      ///< a link that takes no bytes for this long is closed
-  std::chrono::milliseconds silence_timeout{30'000};  ///< an incoming link without a frame for this long is closed
+  std::chrono::milliseconds send_timeout{5'000};   ///< a link that takes no bytes for this long is closed
+  std::chrono::milliseconds idle_timeout{30'000};  ///< an incoming link without a frame for this long is closed
   std::chrono::milliseconds min_backoff{50};
   std::chrono::milliseconds max_backoff{2'000};
   std::shared_ptr<TlsContext> server_tls;  ///< plain TCP when empty
--- a/src/net/peer_test.cc
+++ b/src/net/peer_test.cc
@@ -26,7 +26,7 @@
 
 using Tcp = boost::asio::ip::tcp;
 
-constexpr std::chrono::seconds kPatience{20};
+constexpr std::chrono::seconds kTestTimeout{20};
 
 std::string Text() { return *rc::gen::arbitrary<std::string>(); }
 /// A number that is valid in each field, with the same share of large ones as small ones.
@@ -180,14 +180,14 @@
   huge.demand.memory_mb = INT64_MAX;
   TaskSpec negative;
   negative.demand.slots = -1;
-  TaskSpec endless;
-  endless.declared_run_ms = INT64_MAX;
+  TaskSpec overlong;
+  overlong.declared_run_ms = INT64_MAX;
   EXPECT_EQ(path(RunRequest{1, {}, 1, INT64_MAX, 1}), "remaining_ms");
   EXPECT_EQ(path(RunRequest{1, {}, 1, INT64_MIN, 1}), "remaining_ms");
   EXPECT_EQ(path(TaskQuery{1, TaskId("t"), TeamId("desk"), false, INT64_MAX}), "wait_ms");
   EXPECT_EQ(path(HoldRequest{huge, 1, 1}), "demand");
   EXPECT_EQ(path(HoldRequest{negative, 1, 1}), "demand");
-  EXPECT_EQ(path(StartOrder{endless, 1, ""}), "declared_run_ms");
+  EXPECT_EQ(path(StartOrder{overlong, 1, ""}), "declared_run_ms");
   EXPECT_EQ(path(HoldReply{{}, true, ErrorId::kNone, "", UpstreamId("u"), INT64_MAX}), "epoch");
   EXPECT_EQ(path(ReleaseHold{last}), "attempt");
   EXPECT_EQ(path(TaskResult{{}, Outcome::kFailed, UpstreamId("u"), INT64_MAX, ""}), "run_ms");
@@ -210,9 +210,9 @@
 }
 
 /// One side of a link, which keeps the texts of received ConfigPush messages.
-class Side {
+class TestPeer {
  public:
-  Side(IoPool& pool, const EntryId& id, PeerLinksOptions options = {}) {
+  TestPeer(IoPool& pool, const EntryId& id, PeerLinksOptions options = {}) {
     options.min_backoff = std::chrono::milliseconds(1);
     m_links = std::move(*PeerLinks::Listen(pool, options, id, [this](const EntryId& from, PeerMessage message) {
       const std::lock_guard lock(m_mutex);
@@ -225,7 +225,7 @@
 
   bool WaitFor(const std::string& from, const std::string& config) {
     std::unique_lock lock(m_mutex);
-    return m_changed.wait_for(lock, kPatience, [&] { return m_received.count({from, config}) > 0; });
+    return m_changed.wait_for(lock, kTestTimeout, [&] { return m_received.count({from, config}) > 0; });
   }
 
  private:
@@ -243,8 +243,8 @@
 };
 
 TEST_F(PeerLinksTest, DeliversFramesWithTheSenderOfTheHello) {
-  Side a(m_pool, EntryId("a"));
-  Side b(m_pool, EntryId("b"));
+  TestPeer a(m_pool, EntryId("a"));
+  TestPeer b(m_pool, EntryId("b"));
   a.links().Connect(EntryId("b"), b.links().address());
   a.links().Send(EntryId("b"), ConfigPush{"first"});
   a.links().Send(EntryId("b"), ConfigPush{std::string(1'000'000, 'x')});
@@ -254,8 +254,8 @@
 
 // Guards against a message for one incarnation being taken by the next one at the same address.
 TEST_F(PeerLinksTest, NewIncarnationGetsNoFramesOfTheOldOne) {
-  Side a(m_pool, EntryId("a"));
-  Side b(m_pool, EntryId("b.2"));
+  TestPeer a(m_pool, EntryId("a"));
+  TestPeer b(m_pool, EntryId("b.2"));
   a.links().Connect(EntryId("b.1"), b.links().address());
   a.links().Send(EntryId("b.1"), ConfigPush{"old"});
   a.links().Connect(EntryId("b.2"), b.links().address());
@@ -265,8 +265,8 @@
 }
 
 TEST_F(PeerLinksTest, ConnectsAgainUnderANewIncarnation) {
-  Side a(m_pool, EntryId("a.1"));
-  Side b(m_pool, EntryId("b"));
+  TestPeer a(m_pool, EntryId("a.1"));
+  TestPeer b(m_pool, EntryId("b"));
   a.links().Connect(EntryId("b"), b.links().address());
   a.links().Send(EntryId("b"), ConfigPush{"one"});
   ASSERT_TRUE(b.WaitFor("a.1", "one"));
@@ -282,12 +282,12 @@
   socket.connect(*ParseEndpoint(address));
   boost::system::error_code ec;
   boost::asio::write(socket, boost::asio::buffer(bytes), ec);
-  std::string answer;
-  boost::asio::read(socket, boost::asio::dynamic_buffer(answer), ec);
+  std::string received_bytes;
+  boost::asio::read(socket, boost::asio::dynamic_buffer(received_bytes), ec);
 }
 
 TEST_F(PeerLinksTest, MalformedFramesCloseTheLink) {
-  Side b(m_pool, EntryId("b"));
+  TestPeer b(m_pool, EntryId("b"));
   const std::string hello = EncodeFrame(PeerHello{EntryId("a"), EntryId("b")});
   const std::vector<std::string> streams = {
       hello + std::string("\x08\x00\x00\x00garbage!", 12),  // fails the verification
@@ -306,13 +306,13 @@
 // Guards against a peer that reads nothing growing the memory of the sender.
 TEST_F(PeerLinksTest, FullQueueDropsFrames) {
   boost::asio::io_context context;
-  Tcp::acceptor silent(context, Tcp::endpoint(boost::asio::ip::make_address("127.0.0.1"), 0));
+  Tcp::acceptor unresponsive(context, Tcp::endpoint(boost::asio::ip::make_address("127.0.0.1"), 0));
   PeerLinksOptions options;
   options.max_queued_bytes = 1U << 20U;
-  Side a(m_pool, EntryId("a"), options);
-  a.links().Connect(EntryId("silent"), FormatEndpoint(silent.local_endpoint()));
-  const auto limit = std::chrono::steady_clock::now() + kPatience;
-  while (a.links().counters().dropped == 0 && std::chrono::steady_clock::now() < limit) {
+  TestPeer a(m_pool, EntryId("a"), options);
+  a.links().Connect(EntryId("silent"), FormatEndpoint(unresponsive.local_endpoint()));
+  const auto deadline = std::chrono::steady_clock::now() + kTestTimeout;
+  while (a.links().counters().dropped == 0 && std::chrono::steady_clock::now() < deadline) {
     a.links().Send(EntryId("silent"), ConfigPush{std::string(100'000, 'x')});
   }
   EXPECT_GT(a.links().counters().dropped, 0U);
--- a/src/net/problem.cc
+++ b/src/net/problem.cc
@@ -11,15 +11,15 @@
 namespace {
 
 /// A text that may repeat bytes of a malformed request, in a form that fits into JSON.
-std::string Printable(const std::string& text) { return IsUtf8(text) ? text : EncodeSegment(text); }
+std::string JsonSafeText(const std::string& text) { return IsUtf8(text) ? text : EncodeSegment(text); }
 
 }  // namespace
 
 HttpResponse ProblemResponse(int status, const Error& error, Verdict verdict) {
   const boost::json::object body = {{"type", ToString(error.id)},
                                     {"status", status},
-                                    {"detail", Printable(error.reason)},
-                                    {"path", Printable(error.path)},
+                                    {"detail", JsonSafeText(error.reason)},
+                                    {"path", JsonSafeText(error.path)},
                                     {"verdict", ToString(verdict)}};
   HttpResponse response;
   response.status = status;
