--- a/src/net/blocking_http_client.h
+++ b/src/net/blocking_http_client.h
@@ -8,17 +8,18 @@
 
 namespace jaymast {
 
-/// HTTP client for command-line programs: each call waits for its result. Connections are kept between calls.
+/// Sends HTTP requests and blocks until each completes, for command-line programs. Connections are reused between
+/// calls.
 class BlockingHttpClient {
  public:
-  /// @param tls parameters for TLS, or empty for plain HTTP
+  /// @param tls TLS parameters, or null for plain HTTP
   explicit BlockingHttpClient(std::shared_ptr<TlsContext> tls = nullptr);
   ~BlockingHttpClient();
   BlockingHttpClient(const BlockingHttpClient&) = delete;
   BlockingHttpClient& operator=(const BlockingHttpClient&) = delete;
 
-  /// Sends a request and waits for the result, at most for the timeout.
-  /// @param address IP number and port
+  /// Sends a request and waits for its result, at most for `timeout`.
+  /// @param address IP:port
   HttpResult Call(const std::string& address, HttpRequest request, std::chrono::milliseconds timeout);
 
  private:
--- a/src/net/endpoint.h
+++ b/src/net/endpoint.h
@@ -7,10 +7,11 @@
 
 namespace jaymast {
 
-/// Parses "IP:port" or "[IPv6]:port". Host names are not accepted, because no process resolves names.
+/// Parses "IP:port" or "[IPv6]:port". Host names are rejected, because no process does DNS lookups.
+/// @return the endpoint, or an error with the address
 Result<boost::asio::ip::tcp::endpoint> ParseEndpoint(const std::string& address);
 
-/// Text of an endpoint in the form that ParseEndpoint accepts.
+/// Formats an endpoint for ParseEndpoint.
 std::string FormatEndpoint(const boost::asio::ip::tcp::endpoint& endpoint);
 
 }  // namespace jaymast
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -16,11 +16,11 @@
 class IoPool;
 class TlsContext;
 
-/// What became of a request.
+/// Delivery status of a request.
 enum class SendStatus {
   kAnswered,
-  kNotSent,  ///< certainly no byte was sent
-  kUnknown,  ///< may have been received
+  kNotSent,  ///< no byte of the request was sent
+  kUnknown,  ///< the server may have received the request
 };
 
 template <>
@@ -30,8 +30,8 @@
 
 struct HttpResult {
   SendStatus status = SendStatus::kUnknown;
-  HttpResponse response;  ///< set when answered
-  std::string reason;     ///< why there is no answer
+  HttpResponse response;  ///< set if the status is kAnswered
+  std::string reason;     ///< why there is no response
 };
 
 struct HttpClientOptions {
@@ -39,7 +39,7 @@
   std::size_t max_queued_per_host = 4096;  ///< requests that wait for a connection
   std::size_t max_response_bytes = 64U << 20U;
   std::chrono::milliseconds connect_timeout{3'000};
-  /// Whether a missed deadline also closes the idle connections of the address: they may be silent as well.
+  /// Whether a missed deadline also closes the idle connections to the address, as they may be dead as well.
   bool closes_idle_on_timeout = false;
   std::chrono::milliseconds idle_timeout{20'000};  ///< shorter than that of the server, so that reuse rarely fails
   std::shared_ptr<TlsContext> tls;                 ///< plain HTTP when empty
@@ -47,7 +47,7 @@
 
 /// Asynchronous HTTP/1.1 client with a pool of connections per address.
 ///
-/// A request is never repeated: the caller decides by the status. A connection whose request missed its deadline is
+/// A request is never retried: the caller decides from the status. A connection whose request missed its deadline is
 /// closed, so that a late response cannot be taken for the response to another request.
 class HttpClient {
  public:
@@ -60,12 +60,12 @@
   HttpClient& operator=(const HttpClient&) = delete;
 
   /// Sends a request. May be called from any thread.
-  /// @param address IP number and port
-  /// @param deadline the callback is called at this time at the latest
-  /// @param done called once, on a traffic thread
+  /// @param address IP:port
+  /// @param deadline latest time at which `done` is called
+  /// @param done called once, on an I/O thread
   void Send(const std::string& address, HttpRequest request, Deadline deadline, Callback done);
 
-  /// Sends the request that a function makes on a traffic thread, so that the calling thread need not encode it.
+  /// Sends the request that `make_request` creates on an I/O thread, so that the calling thread does not encode it.
   void Send(const std::string& address, std::function<HttpRequest()> make_request, Deadline deadline, Callback done);
 
  private:
--- a/src/net/http_client_connection.cc
+++ b/src/net/http_client_connection.cc
@@ -69,7 +69,7 @@
   void Send(const std::shared_ptr<PendingRequest>& pending) override {
     pending->connection = this->weak_from_this();
     m_request = ToMessage(std::move(pending->request), m_address);
-    // The timer of the request covers reading and writing.
+    // The deadline timer of the request covers writing and reading.
     Lowest().expires_never();
     http::async_write(m_stream, m_request, [self = Self(), pending](ErrorCode ec, std::size_t size) {
       if (ec) return self->Fail(*pending, ec, size == 0 && !kIsTls);
@@ -87,7 +87,7 @@
   bool IsStale() override {
     std::array<char, 1> byte{};
     const ssize_t size = ::recv(Lowest().socket().native_handle(), byte.data(), byte.size(), MSG_PEEK | MSG_DONTWAIT);
-    // TLS servers may send session tickets at any time, so data is expected there.
+    // Pending data is normal with TLS, as servers may send session tickets at any time.
     if (size > 0) return !kIsTls;
     return size == 0 || errno != EAGAIN;
   }
@@ -134,7 +134,7 @@
 
   void Finish(PendingRequest& pending) {
     auto& message = m_parser->get();
-    // Bytes after the response belong to no request of this client, so the connection cannot be trusted any more.
+    // Bytes after the response belong to no request, so a connection with such bytes is not reused.
     const bool is_reusable = message.keep_alive() && m_buffer.size() == 0 && !m_is_closed;
     HttpResult result{SendStatus::kAnswered, ToResponse(message), ""};
     if (is_reusable) {
@@ -157,7 +157,7 @@
     if (const auto host = m_host.lock()) host->OnIdle(Self());
   }
 
-  // The host owns its idle connections. A request in flight keeps the host alive by its timer.
+  // Weak, because the host owns its idle connections. The timer of a request in flight keeps the host alive.
   const std::weak_ptr<HttpClientHost> m_host;
   const std::string m_address;
   const std::size_t m_max_response_bytes;
--- a/src/net/http_client_connection.h
+++ b/src/net/http_client_connection.h
@@ -10,7 +10,7 @@
 class HttpClientHost;
 struct PendingRequest;
 
-/// One connection of the client. Lives on the thread of its host.
+/// Sends requests over one connection, one at a time. Must be used only on the thread of its host.
 class HttpClientConnection {
  public:
   virtual ~HttpClientConnection() = default;
@@ -19,7 +19,7 @@
   virtual void Send(const std::shared_ptr<PendingRequest>& pending) = 0;
   virtual void Close() = 0;
 
-  /// Whether the server closed the idle connection or sent something that no request asked for.
+  /// Whether the server closed the idle connection or sent unsolicited data.
   virtual bool IsStale() = 0;
 
   virtual std::chrono::steady_clock::time_point idle_since() const = 0;
--- a/src/net/http_client_host.cc
+++ b/src/net/http_client_host.cc
@@ -14,7 +14,7 @@
 void HttpClientHost::Send(HttpRequest request, HttpClient::Deadline deadline, HttpClient::Callback done) {
   const auto pending = std::make_shared<PendingRequest>(m_context, std::move(request), std::move(done));
   if (m_queued.size() >= m_options.max_queued_per_host) {
-    return Complete(*pending, HttpResult{SendStatus::kNotSent, {}, m_address + ": too many requests wait"});
+    return Complete(*pending, HttpResult{SendStatus::kNotSent, {}, m_address + ": too many queued requests"});
   }
   StartTimer(pending, deadline);
   m_queued.push_back(pending);
--- a/src/net/http_client_host.h
+++ b/src/net/http_client_host.h
@@ -14,7 +14,7 @@
 
 class HttpClientConnection;
 
-/// A request on its way through the client.
+/// A request that has not completed, with its deadline timer.
 struct PendingRequest {
   PendingRequest(boost::asio::io_context& context, HttpRequest http_request, HttpClient::Callback callback)
       : request(std::move(http_request)), done(std::move(callback)), timer(context) {}
@@ -22,11 +22,12 @@
   HttpRequest request;
   HttpClient::Callback done;
   boost::asio::steady_timer timer;
-  std::weak_ptr<HttpClientConnection> connection;  ///< set while the request is being sent or answered
+  std::weak_ptr<HttpClientConnection> connection;  ///< set once the request is assigned to a connection
   bool is_complete = false;
 };
 
-/// Connections and waiting requests of one address. Lives on the thread of one io_context.
+/// Pools the connections to one address and queues its requests. Must be used only on the thread of its
+/// io_context, except for context().
 class HttpClientHost : public std::enable_shared_from_this<HttpClientHost> {
  public:
   HttpClientHost(boost::asio::io_context& context, std::string address, const HttpClientOptions& options);
@@ -35,22 +36,22 @@
   const HttpClientOptions& options() const { return m_options; }
   const std::string& address() const { return m_address; }
 
-  /// Takes a request. Must run on the thread of the host, as all calls below.
+  /// Sends a request, or queues it until a connection is available.
   void Send(HttpRequest request, HttpClient::Deadline deadline, HttpClient::Callback done);
 
-  /// Completes a request, unless it was completed before.
+  /// Cancels the timer and calls the callback, unless the request already completed.
   void Complete(PendingRequest& pending, HttpResult result);
 
-  /// A connection was established, and can take a request.
+  /// Called when a connection is established.
   void OnConnected(const std::shared_ptr<HttpClientConnection>& connection);
 
-  /// A connection finished a request, and can take the next one.
+  /// Called when a connection is available for a request.
   void OnIdle(const std::shared_ptr<HttpClientConnection>& connection);
 
-  /// A connection could not be established.
+  /// Called when a connection cannot be established. Fails the oldest queued request.
   void OnConnectFailed(const std::string& reason);
 
-  /// A connection is closed.
+  /// Called when a connection is closed.
   void OnClosed();
 
  private:
@@ -68,7 +69,7 @@
   const std::string m_address;
   const HttpClientOptions m_options;
   std::deque<PendingPtr> m_queued;
-  std::vector<std::shared_ptr<HttpClientConnection>> m_idle;  ///< the last one was used most recently
+  std::vector<std::shared_ptr<HttpClientConnection>> m_idle;  ///< ordered by last use, most recent last
   boost::asio::steady_timer m_idle_sweep_timer;
   bool m_is_idle_sweep_scheduled = false;
   std::size_t m_open_count = 0;
--- a/src/net/http_message.h
+++ b/src/net/http_message.h
@@ -7,10 +7,10 @@
 
 namespace jaymast {
 
-/// Header fields in the order in which they were received or will be sent.
+/// Header fields in the order in which they are received or sent.
 using HttpHeaders = std::vector<std::pair<std::string, std::string>>;
 
-/// Value of the first field with the given name, compared without case, or an empty text.
+/// Returns the value of the first field with the given case-insensitive name, or an empty string.
 std::string_view FindHeader(const HttpHeaders& headers, std::string_view name);
 
 /// An HTTP/1.1 request. Content-Length, Host and Connection are set by the client.
--- a/src/net/http_responder.h
+++ b/src/net/http_responder.h
@@ -9,29 +9,29 @@
 
 namespace jaymast {
 
-/// Server side of a connection, as a responder sees it.
+/// Interface through which a responder sends to its connection.
 class HttpExchange {
  public:
   virtual ~HttpExchange() = default;
 
-  /// Answers request number `sequence` of the connection. Ignored if that request was answered before.
+  /// Responds to request number `sequence` of the connection. Ignored if that request already has a response.
   virtual void Respond(std::uint64_t sequence, HttpResponse response) = 0;
   virtual void SetOnGone(std::function<void()> on_gone) = 0;
 };
 
-/// Handle to answer one request. Copies answer the same request; only the first answer is sent.
+/// Sends the response to one request. Copies refer to the same request; only the first response is sent.
 class HttpResponder {
  public:
   HttpResponder(std::weak_ptr<HttpExchange> exchange, std::uint64_t sequence)
       : m_exchange(std::move(exchange)), m_sequence(sequence) {}
 
-  /// Sends the response. May be called from any thread, also after the connection was closed.
+  /// Sends the response. May be called from any thread, and has no effect after the connection is closed.
   void Respond(HttpResponse response) const {
     if (const auto exchange = m_exchange.lock()) exchange->Respond(m_sequence, std::move(response));
   }
 
-  /// Sets a function that is called on a traffic thread when the caller closes the connection before the response.
-  /// Call it only from inside the handler of the server.
+  /// Sets a function that is called on an I/O thread if the connection closes before the response.
+  /// Must be called only from within the handler of the server.
   void OnGone(std::function<void()> on_gone) const {
     if (const auto exchange = m_exchange.lock()) exchange->SetOnGone(std::move(on_gone));
   }
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -17,14 +17,14 @@
 
 constexpr std::chrono::milliseconds kAcceptRetryDelay{50};
 
-/// Keeps the parameters of a connection alive, because a reload replaces them in the server.
+/// TLS stream that keeps its parameters alive, because a reload replaces them in the server.
 struct TlsStream : boost::beast::ssl_stream<tcp_stream> {
   TlsStream(tcp_stream stream, std::shared_ptr<boost::asio::ssl::context> parameters)
       : ssl_stream(std::move(stream), *parameters), context(std::move(parameters)) {}
   std::shared_ptr<boost::asio::ssl::context> context;
 };
 
-/// Answers with a refusal that says "not run", and closes the connection.
+/// Sends a 503 response with the verdict "not_run" and closes the connection.
 void RejectConnection(Tcp::socket socket) {
   static const std::string kRejection = [] {
     const HttpResponse problem =
@@ -39,6 +39,7 @@
   socket.shutdown(Tcp::socket::shutdown_send, ignored);
 }
 
+/// Accepts connections and distributes them over the I/O threads.
 class Acceptor : public std::enable_shared_from_this<Acceptor> {
  public:
   explicit Acceptor(std::shared_ptr<HttpServerState> shared)
@@ -54,7 +55,7 @@
   }
 
  private:
-  /// Waits before the next attempt, because accept fails at once while the process is out of descriptors.
+  /// Retries after a delay, because accept fails immediately while the process is out of file descriptors.
   void RetryAccept() {
     m_retry_timer.expires_after(kAcceptRetryDelay);
     m_retry_timer.async_wait([self = shared_from_this()](boost::system::error_code) {
@@ -63,7 +64,7 @@
     });
   }
 
-  /// Serves the connections that callers already opened, then stops to listen. Closing at once would reset them.
+  /// Accepts the connections in the backlog, then stops listening. Closing immediately would reset them.
   void Drain() {
     boost::system::error_code ec;
     m_shared->acceptor.non_blocking(true, ec);
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -18,43 +18,43 @@
 struct HttpServerState;
 
 struct HttpServerOptions {
-  std::string address = "127.0.0.1:0";  ///< IP number and port; port 0 takes a free port
+  std::string address = "127.0.0.1:0";  ///< IP:port; port 0 selects a free port
   std::size_t max_body_bytes = 4U << 20U;
   std::size_t max_header_bytes = 16U << 10U;
   std::size_t max_connections = 4096;
-  std::chrono::milliseconds idle_timeout{60'000};   ///< between two requests of a connection
+  std::chrono::milliseconds idle_timeout{60'000};   ///< between two requests on a connection
   std::chrono::milliseconds header_timeout{5'000};  ///< from the first byte of a request to the end of its header
   std::chrono::milliseconds body_timeout{10'000};   ///< from the end of the header to the end of the body
   std::chrono::milliseconds write_timeout{10'000};
   std::shared_ptr<TlsContext> tls;  ///< plain HTTP when empty
 };
 
-/// HTTP/1.1 server with keep-alive on the traffic threads of a pool.
+/// Serves HTTP/1.1 with keep-alive on the I/O threads of a pool.
 class HttpServer {
  public:
-  /// Called on a traffic thread. The responder may be used later and from any thread.
+  /// Called on an I/O thread. The responder may be used later and from any thread.
   using Handler = std::function<void(HttpRequest, HttpResponder)>;
 
-  /// Listens and starts to accept connections.
-  /// @return the server, or an error with the address when it cannot be used
+  /// Listens and starts accepting connections.
+  /// @return the server, or an error with the address if it cannot be bound
   static Result<std::unique_ptr<HttpServer>> Listen(IoPool& pool, HttpServerOptions options, Handler handler);
 
-  /// Stops to accept and closes all connections. Must not be called from a thread of the pool.
+  /// Stops accepting and closes all connections. Must not be called from a thread of the pool.
   ~HttpServer();
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  /// IP number and port on which the server listens.
+  /// Local IP address and port of the server.
   std::string address() const;
 
   std::size_t open_connections() const;
   std::uint64_t refused_connections() const;
 
-  /// Begins a graceful shutdown: accepts no connection, answers requests in flight, then closes each connection.
+  /// Begins a graceful shutdown: stops accepting, completes requests in flight, then closes each connection.
   void BeginShutdown();
 
   /// Waits until all connections are closed.
-  /// @return whether they were closed before the timeout
+  /// @return false on timeout
   bool WaitForShutdown(std::chrono::milliseconds timeout);
 
  private:
--- a/src/net/http_server_connection.h
+++ b/src/net/http_server_connection.h
@@ -21,8 +21,8 @@
 
 namespace jaymast {
 
-/// One connection of a server. All work is done on the thread of its io_context. Stream is a tcp_stream or an
-/// ssl_stream on top of one.
+/// Serves the requests of one connection on the thread of its io_context.
+/// @tparam Stream tcp_stream, or ssl_stream over tcp_stream
 template <typename Stream>
 class HttpServerConnection : public HttpConnection,
                              public HttpExchange,
@@ -69,7 +69,8 @@
   using Parser = boost::beast::http::request_parser<boost::beast::http::string_body>;
   static constexpr bool kIsTls = !std::is_same_v<Stream, boost::beast::tcp_stream>;
   static constexpr std::size_t kReadChunkBytes = 8192;
-  /// A request that a caller sent before it saw the end of the connection still gets its response within this time.
+  /// Idle connections stay open this long after shutdown begins, so that a request already sent by the client is
+  /// served.
   static constexpr std::chrono::milliseconds kShutdownGracePeriod{250};
 
   auto Self() { return this->shared_from_this(); }
@@ -133,7 +134,7 @@
     m_shared->handler(std::move(request), HttpResponder(this->weak_from_this(), ++m_sequence));
   }
 
-  /// Detects that the caller closed the connection while its request is in flight.
+  /// Detects that the client closed the connection while its request is in flight.
   void WatchForClose() {
     Lowest().socket().async_wait(boost::asio::ip::tcp::socket::wait_read,
                                  [self = Self(), sequence = m_sequence + 1](ErrorCode ec) {
--- a/src/net/http_server_state.h
+++ b/src/net/http_server_state.h
@@ -15,19 +15,20 @@
 
 namespace jaymast {
 
-/// A connection as the server sees it.
+/// Interface through which the server closes a connection.
 class HttpConnection {
  public:
   virtual ~HttpConnection() = default;
 
-  /// Closes the connection at once. May be called from any thread.
+  /// Closes the connection immediately. May be called from any thread.
   virtual void Abort() = 0;
 
-  /// Closes the connection after the request in flight, or soon if there is none. May be called from any thread.
+  /// Closes the connection after the request in flight, or after a short grace period if there is none. May be called
+  /// from any thread.
   virtual void CloseGracefully() = 0;
 };
 
-/// State shared by a server and its connections.
+/// Holds the state that a server and its connections share.
 struct HttpServerState {
   HttpServerState(IoPool& io_pool, HttpServerOptions server_options, HttpServer::Handler request_handler)
       : pool(io_pool),
@@ -56,7 +57,7 @@
   std::atomic<std::uint64_t> refused = 0;
 
   std::mutex mutex;           ///< guards the members below
-  bool is_destroyed = false;  ///< the server is gone, so new connections are closed
+  bool is_destroyed = false;  ///< the server is destroyed, so new connections are aborted
   std::condition_variable all_closed;
   std::map<HttpConnection*, std::shared_ptr<HttpConnection>> connections;
 };
--- a/src/net/http_test.cc
+++ b/src/net/http_test.cc
@@ -22,7 +22,7 @@
 using std::chrono::milliseconds;
 using Tcp = boost::asio::ip::tcp;
 
-/// Upper bound of a wait for something that must happen. Tests do not depend on how fast it happens.
+/// Limit on waits for events that must happen. Tests do not depend on how soon they do.
 constexpr milliseconds kTestTimeout{20'000};
 
 void Echo(const HttpRequest& request, const HttpResponder& responder) {
@@ -62,7 +62,8 @@
   std::unique_ptr<HttpServer> m_server;
 };
 
-TEST_F(HttpTest, AnswersWithTheWholeBodyOverOneConnection) {
+// Guards against truncated bodies, and against a new connection for each request.
+TEST_F(HttpTest, ReturnsTheWholeBodyOverOneConnection) {
   Listen(Echo);
   BlockingHttpClient client;
   for (const std::size_t size : {0U, 1U, 100'000U, 3'000'000U}) {
@@ -75,10 +76,10 @@
   EXPECT_EQ(m_server->open_connections(), 1U);
 }
 
-// Guards against retries of requests that were never sent being treated as possibly run.
+// Guards against a request that was never sent being reported as possibly run, which prevents a retry.
 TEST_F(HttpTest, ConnectionRefusedIsNotSent) {
   boost::asio::io_context context;
-  // The socket reserves a port on which nothing listens.
+  // The socket is bound but does not listen, so connections to its port are refused.
   Tcp::acceptor reserved(context, Tcp::v4());
   reserved.bind(Tcp::endpoint(boost::asio::ip::make_address("127.0.0.1"), 0));
   BlockingHttpClient client;
@@ -86,6 +87,7 @@
   EXPECT_EQ(result.status, SendStatus::kNotSent) << result.reason;
 }
 
+// Guards against a request that may have run being reported as not sent.
 TEST_F(HttpTest, ConnectionClosedWithoutAResponseIsUnknown) {
   boost::asio::io_context context;
   Tcp::acceptor acceptor(context, Tcp::endpoint(boost::asio::ip::make_address("127.0.0.1"), 0));
@@ -100,7 +102,7 @@
   server.get();
 }
 
-// Guards against a late response being delivered to the next request of the same connection.
+// Guards against a late response being delivered to the next request on the same connection.
 TEST_F(HttpTest, LateResponseNeverReachesAnotherRequest) {
   std::promise<HttpResponder> late;
   Listen([&late](const HttpRequest& request, const HttpResponder& responder) {
@@ -121,8 +123,8 @@
   EXPECT_EQ(second.get_future().get().response.body, "second");
 }
 
-// Guards against responses that complete in another order than their requests, and against double responses.
-TEST_F(HttpTest, CrossedResponsesReachTheirOwnRequests) {
+// Guards against mixed-up responses when requests complete out of order, and against second responses to a request.
+TEST_F(HttpTest, OutOfOrderResponsesReachTheirOwnRequests) {
   constexpr int kRequests = 8;
   std::mutex mutex;
   std::vector<std::pair<HttpRequest, HttpResponder>> waiting;
@@ -147,7 +149,8 @@
   }
 }
 
-TEST_F(HttpTest, QueuedRequestIsNotSentAtItsDeadline) {
+// Guards against a request that is still queued at its deadline being sent later or reported as possibly run.
+TEST_F(HttpTest, QueuedRequestPastItsDeadlineIsNotSent) {
   Listen([](const HttpRequest&, const HttpResponder&) {});
   HttpClientOptions options;
   options.max_connections_per_host = 1;
@@ -163,7 +166,8 @@
   EXPECT_EQ(first.get_future().get().status, SendStatus::kUnknown);
 }
 
-TEST_F(HttpTest, SlowHeaderAndSlowBodyAreCut) {
+// Guards against clients that hold connections open with incomplete requests.
+TEST_F(HttpTest, IncompleteHeadersAndBodiesTimeOut) {
   HttpServerOptions options;
   options.header_timeout = milliseconds(50);
   options.body_timeout = milliseconds(50);
@@ -172,7 +176,8 @@
   EXPECT_EQ(RawExchange(m_server->address(), "POST / HTTP/1.1\r\nContent-Length: 9\r\n\r\nabc"), "");
 }
 
-TEST_F(HttpTest, RefusesOversizedAndMalformedRequestsAsNotRun) {
+// Guards against oversized or malformed requests reaching the handler, or being rejected without the verdict "not_run".
+TEST_F(HttpTest, RejectsOversizedAndMalformedRequestsAsNotRun) {
   HttpServerOptions options;
   options.max_body_bytes = 10;
   options.max_header_bytes = 200;
@@ -187,7 +192,8 @@
   EXPECT_NE(malformed.find("400"), std::string::npos) << malformed;
 }
 
-TEST_F(HttpTest, RefusesConnectionsAboveTheLimit) {
+// Guards against connections above the limit being served, or closed without a response.
+TEST_F(HttpTest, RejectsConnectionsAboveTheLimit) {
   HttpServerOptions options;
   options.max_connections = 1;
   Listen(Echo, options);
@@ -197,7 +203,8 @@
   EXPECT_EQ(m_server->refused_connections(), 1U);
 }
 
-TEST_F(HttpTest, ReportsThatTheCallerIsGone) {
+// Guards against a request staying open after its client disconnected.
+TEST_F(HttpTest, ReportsClientDisconnect) {
   std::promise<void> gone;
   Listen(
       [&gone](const HttpRequest&, const HttpResponder& responder) { responder.OnGone([&gone] { gone.set_value(); }); });
@@ -207,7 +214,7 @@
   EXPECT_EQ(gone.get_future().wait_for(kTestTimeout), std::future_status::ready);
 }
 
-// Guards G10: a planned stop must not cut a request that was received.
+// Guards against a graceful shutdown aborting a request in flight (G10).
 TEST_F(HttpTest, ShutdownFinishesTheRequestInFlight) {
   std::promise<HttpResponder> received;
   Listen([&received](const HttpRequest&, const HttpResponder& responder) { received.set_value(responder); });
@@ -223,6 +230,7 @@
   EXPECT_TRUE(m_server->WaitForShutdown(kTestTimeout));
 }
 
+// Guards against a bind failure that is ignored or does not name the address.
 TEST_F(HttpTest, PortInUseIsAnErrorWithTheAddress) {
   Listen(Echo);
   HttpServerOptions options;
--- a/src/net/incoming_link.cc
+++ b/src/net/incoming_link.cc
@@ -55,7 +55,8 @@
     const std::string_view unread = std::string_view(m_pending_bytes).substr(consumed);
     const std::size_t length = DecodeFrameLength(unread);
     if (length > m_state->options.max_frame_bytes) {
-      return CloseMalformed({ErrorId::kInputTooLarge, "length", std::to_string(length) + " bytes"});
+      return CloseMalformed(
+          {ErrorId::kInputTooLarge, "length", std::to_string(length) + " bytes exceed the frame size limit"});
     }
     if (unread.size() < kFrameLengthBytes + length) break;
     if (!ProcessFrame(unread.substr(kFrameLengthBytes, length))) return;
--- a/src/net/incoming_link.h
+++ b/src/net/incoming_link.h
@@ -14,7 +14,7 @@
 
 class PeerLinksState;
 
-/// The receiving side of a link that another entry opened.
+/// Receives frames over a link that another entry opened.
 class IncomingLink : public std::enable_shared_from_this<IncomingLink> {
  public:
   IncomingLink(std::shared_ptr<PeerLinksState> state, boost::asio::ip::tcp::socket socket);
@@ -25,7 +25,7 @@
  private:
   void Read();
 
-  /// Takes all complete frames from the buffer. Closes the link at the first bad one.
+  /// Decodes and delivers all complete frames in the buffer. Closes the link at the first malformed one.
   void ProcessFrames();
   bool ProcessFrame(std::string_view bytes);
   bool OnHello(const PeerHello& hello);
@@ -36,9 +36,9 @@
   const std::string m_remote;
   const std::shared_ptr<PeerStream> m_stream;
   std::vector<char> m_read_buffer;
-  std::string m_pending_bytes;  ///< received bytes that do not form a complete frame yet
-  std::string m_frame;          ///< aligned copy of the frame that is decoded
-  EntryId m_from;               ///< empty before the hello
+  std::string m_pending_bytes;  ///< received bytes of an incomplete frame
+  std::string m_frame;          ///< copy of the frame being decoded, aligned to 8 bytes
+  EntryId m_from;               ///< sender, empty until the hello frame
   bool m_is_closed = false;
 };
 
--- a/src/net/io_pool.cc
+++ b/src/net/io_pool.cc
@@ -9,7 +9,8 @@
 namespace jaymast {
 
 struct IoPool::Worker {
-  // One thread runs the context. Posts from other threads still need its lock, so the hint is 1 and not UNSAFE.
+  // One thread runs the context, but other threads post to it. It needs its lock, so the concurrency hint is 1 and not
+  // BOOST_ASIO_CONCURRENCY_HINT_UNSAFE.
   boost::asio::io_context context{1};
   boost::asio::executor_work_guard<boost::asio::io_context::executor_type> guard{context.get_executor()};
   std::thread thread;
@@ -22,7 +23,7 @@
 
 IoPool::~IoPool() {
   Stop();
-  // Acceptors belong to the first context, and connections of other contexts refer to them.
+  // Connections in other contexts refer to acceptors in the first one, so the contexts are destroyed in reverse order.
   while (!m_workers.empty()) m_workers.pop_back();
 }
 
--- a/src/net/io_pool.h
+++ b/src/net/io_pool.h
@@ -11,27 +11,26 @@
 
 namespace jaymast {
 
-/// Traffic threads. Each thread runs its own io_context, so that the state of a connection needs no lock.
+/// Runs I/O threads. Each thread has its own io_context, so that the state of a connection needs no lock.
 class IoPool {
  public:
-  /// Starts the threads.
   explicit IoPool(std::size_t threads);
 
-  /// Stops the threads if they still run.
+  /// Calls Stop().
   ~IoPool();
   IoPool(const IoPool&) = delete;
   IoPool& operator=(const IoPool&) = delete;
 
   std::size_t size() const;
 
-  /// The io_context of the thread with number `index` modulo size().
+  /// Returns the io_context of the thread with number `index` modulo size().
   boost::asio::io_context& Context(std::size_t index);
 
   /// Calls a function on the thread with number `index` modulo size() and waits for it. Calls it directly when the pool
   /// is stopped. Must not be called from a thread of the pool.
   void RunAndWait(std::size_t index, const std::function<void()>& function);
 
-  /// Abandons all work and joins the threads. Handlers that did not run are destroyed with the pool.
+  /// Stops all contexts and joins the threads. Handlers that did not run are destroyed with the pool.
   void Stop();
 
  private:
--- a/src/net/outgoing_link.cc
+++ b/src/net/outgoing_link.cc
@@ -72,7 +72,7 @@
 void OutgoingLink::ScheduleReconnect() {
   m_is_connected = false;
   m_stream->Close();
-  // Frames are only useful while they are fresh, so they do not wait for the next connection.
+  // Queued frames are dropped, because they would be outdated on the next connection.
   m_queue.clear();
   m_writing.clear();
   m_timer.expires_after(NextBackoff());
--- a/src/net/outgoing_link.h
+++ b/src/net/outgoing_link.h
@@ -12,7 +12,7 @@
 
 class PeerLinksState;
 
-/// The sending side of a link. Connects again with jittered backoff until it is closed.
+/// Sends frames to one peer. Reconnects with jittered exponential backoff until it is closed.
 class OutgoingLink : public std::enable_shared_from_this<OutgoingLink> {
  public:
   OutgoingLink(std::shared_ptr<PeerLinksState> state, EntryId peer, std::string address);
@@ -34,7 +34,7 @@
   const std::string m_address;
   boost::asio::steady_timer m_timer;
   std::shared_ptr<PeerStream> m_stream;
-  std::string m_queue;    ///< frames that wait for the write in progress
+  std::string m_queue;    ///< frames for the next write
   std::string m_writing;  ///< frames of the write in progress
   std::chrono::milliseconds m_backoff;
   bool m_is_connected = false;
--- a/src/net/peer_codec.cc
+++ b/src/net/peer_codec.cc
@@ -17,10 +17,10 @@
 
 constexpr std::size_t kBitsPerByte = 8;
 
-/// Largest amount of a resource in a message, of either sign. Sums over all upstreams and tasks do not overflow.
+/// Limit on the absolute value of a resource amount, so that sums over all upstreams and tasks do not overflow.
 constexpr std::int64_t kMaxResourceAmount = std::int64_t{1} << 40U;
 
-/// Largest span of time in a message, of either sign: 100 years in milliseconds. It fits into microseconds.
+/// Limit on the absolute value of a duration: 100 years. It does not overflow when converted to microseconds.
 constexpr std::int64_t kMaxDurationMs = 100LL * 365 * 24 * 3600 * 1000;
 
 wire::Resources ToWire(const Resources& resources) {
@@ -50,7 +50,7 @@
   return static_cast<std::uint8_t>(value);
 }
 
-/// Builds the table of each kind of message.
+/// Builds the FlatBuffers table of a message.
 struct Encoder {
   FlatBufferBuilder& b;
 
@@ -129,7 +129,7 @@
   return FinishFrame(builder, Encoder{builder}(message));
 }
 
-/// Reads the table of each kind of message and keeps the name of the first field with a bad value.
+/// Reads the FlatBuffers table of a message and records the first field with an invalid value.
 class Decoder {
  public:
   const std::optional<Error>& error() const { return m_error; }
--- a/src/net/peer_links.cc
+++ b/src/net/peer_links.cc
@@ -92,7 +92,7 @@
   const Result<Tcp::endpoint> endpoint = ParseEndpoint(options.address);
   if (!endpoint) return endpoint.error();
   const std::string address = options.address;
-  // The last thread: connections of HTTP servers start at the first one.
+  // The last thread is used, because HTTP servers assign their connections from the first one on.
   auto& context = pool.Context(pool.size() - 1);
   auto state = std::make_shared<PeerLinksState>(context, std::move(options), std::move(local), std::move(receiver));
   boost::system::error_code ec;
--- a/src/net/peer_links.h
+++ b/src/net/peer_links.h
@@ -18,12 +18,12 @@
 class PeerLinksState;
 
 struct PeerLinksOptions {
-  std::string address = "127.0.0.1:0";        ///< IP number and port; port 0 takes a free port
+  std::string address = "127.0.0.1:0";        ///< IP:port; port 0 selects a free port
   std::size_t max_frame_bytes = 32U << 20U;   ///< larger frames close the link
-  std::size_t max_queued_bytes = 64U << 20U;  ///< per peer; frames beyond it are dropped
+  std::size_t max_queued_bytes = 64U << 20U;  ///< limit per peer; frames that exceed it are dropped
   std::size_t max_incoming_links = 1024;
   std::chrono::milliseconds connect_timeout{2'000};
-  std::chrono::milliseconds send_timeout{5'000};   ///< a link that takes no bytes for this long is closed
+  std::chrono::milliseconds send_timeout{5'000};   ///< a write that takes longer closes the link
   std::chrono::milliseconds idle_timeout{30'000};  ///< an incoming link without a frame for this long is closed
   std::chrono::milliseconds min_backoff{50};
   std::chrono::milliseconds max_backoff{2'000};
@@ -31,23 +31,24 @@
   std::shared_ptr<TlsContext> client_tls;
 };
 
-/// Links between entries over TCP. Each entry sends over the links that it opened and receives over the others.
+/// Sends and receives messages between entries over TCP. Each link carries messages in one direction, from the entry
+/// that opened it.
 ///
-/// Frames may be lost, and are never delivered to another incarnation than the one they were sent to.
+/// Delivery is at most once. A frame is delivered only to the incarnation to which it was sent.
 class PeerLinks {
  public:
-  /// Called on a traffic thread.
+  /// Called on an I/O thread.
   using Receiver = std::function<void(const EntryId& from, PeerMessage message)>;
 
   struct Counters {
     std::uint64_t sent = 0;
     std::uint64_t received = 0;
-    std::uint64_t dropped = 0;    ///< frames for which there was no room or no link
-    std::uint64_t malformed = 0;  ///< links closed because of a bad frame
+    std::uint64_t dropped = 0;    ///< frames without a link, too large, or beyond the queue limit
+    std::uint64_t malformed = 0;  ///< links closed because of a malformed frame
   };
 
   /// Listens for links from other entries.
-  /// @return the links, or an error with the address when it cannot be used
+  /// @return the links, or an error with the address if it cannot be bound
   static Result<std::unique_ptr<PeerLinks>> Listen(IoPool& pool, PeerLinksOptions options, EntryId local,
                                                    Receiver receiver);
 
@@ -56,17 +57,17 @@
   PeerLinks(const PeerLinks&) = delete;
   PeerLinks& operator=(const PeerLinks&) = delete;
 
-  /// IP number and port where other entries connect.
+  /// Local IP address and port to which other entries connect.
   std::string address() const;
 
-  /// Names a new incarnation of this entry. Closes all links; those to connected peers are opened again.
+  /// Sets the id of a new incarnation of this entry. Closes all links and reopens the outgoing ones.
   void SetLocalId(EntryId local);
 
-  /// Keeps a link to a peer open until Disconnect. Does nothing if there is one to the same address.
+  /// Keeps a link to a peer open, with reconnects, until Disconnect. No effect if there is one to the same address.
   void Connect(const EntryId& peer, const std::string& address);
   void Disconnect(const EntryId& peer);
 
-  /// Sends a frame, or drops it when there is no link or its queue is full.
+  /// Queues a message for a peer. It is dropped if there is no link, it is too large, or the queue is full.
   void Send(const EntryId& peer, const PeerMessage& message);
 
   Counters counters() const;
--- a/src/net/peer_links_state.h
+++ b/src/net/peer_links_state.h
@@ -15,7 +15,7 @@
 class IncomingLink;
 class OutgoingLink;
 
-/// State of the links. Lives on the thread of one io_context, except the counters.
+/// Owns all links of a PeerLinks. Must be used only on the thread of its io_context, except for the counters.
 class PeerLinksState : public std::enable_shared_from_this<PeerLinksState> {
  public:
   PeerLinksState(boost::asio::io_context& io_context, PeerLinksOptions links_options, EntryId local,
--- a/src/net/peer_stream.cc
+++ b/src/net/peer_stream.cc
@@ -21,7 +21,7 @@
 using Tcp = boost::asio::ip::tcp;
 using TlsStream = boost::beast::ssl_stream<tcp_stream>;
 
-/// A partition shows up as unacknowledged data. Without this bound the kernel keeps the connection for many minutes.
+/// Detects a network partition by unacknowledged data. By default the kernel keeps the connection for many minutes.
 constexpr int kUnacknowledgedTimeoutMs = 5'000;
 
 template <typename Stream>
--- a/src/net/peer_stream.h
+++ b/src/net/peer_stream.h
@@ -12,7 +12,7 @@
 
 class TlsContext;
 
-/// Byte stream of a link: TCP, or TLS over TCP. Each operation has its own timeout, after which the stream is closed.
+/// Byte stream of a link over TCP, optionally with TLS. An operation that exceeds its timeout closes the stream.
 class PeerStream {
  public:
   using Timeout = std::chrono::milliseconds;
@@ -21,17 +21,17 @@
 
   virtual ~PeerStream() = default;
 
-  /// Connects, and completes the TLS handshake as client.
+  /// Connects and performs the TLS handshake as client.
   virtual void Connect(const boost::asio::ip::tcp::endpoint& endpoint, Timeout timeout, Done done) = 0;
 
-  /// Completes the TLS handshake as server.
+  /// Performs the TLS handshake as server.
   virtual void Accept(Timeout timeout, Done done) = 0;
 
   virtual void ReadSome(boost::asio::mutable_buffer buffer, Timeout timeout, ReadDone done) = 0;
   virtual void Write(boost::asio::const_buffer buffer, Timeout timeout, Done done) = 0;
   virtual void Close() = 0;
 
-  /// @param tls parameters for TLS, or empty for plain TCP
+  /// @param tls TLS parameters, or null for plain TCP
   static std::unique_ptr<PeerStream> Make(boost::asio::ip::tcp::socket socket, const std::shared_ptr<TlsContext>& tls);
 };
 
--- a/src/net/peer_test.cc
+++ b/src/net/peer_test.cc
@@ -29,7 +29,7 @@
 constexpr std::chrono::seconds kTestTimeout{20};
 
 std::string Text() { return *rc::gen::arbitrary<std::string>(); }
-/// A number that is valid in each field, with the same share of large ones as small ones.
+/// A number within the range of every field, with evenly distributed orders of magnitude.
 std::int64_t Number() { return *rc::gen::arbitrary<std::int64_t>() >> *rc::gen::inRange(24, 60); }
 std::int64_t Amount() { return std::abs(Number()); }
 bool Flag() { return *rc::gen::arbitrary<bool>(); }
@@ -56,7 +56,7 @@
           DomainId(Text())};
 }
 
-/// A message of the kind with the given index in PeerMessage.
+/// A message of the alternative with the given index in PeerMessage.
 PeerMessage Message(std::size_t kind) {
   const auto call = static_cast<std::uint64_t>(Number());
   switch (kind) {
@@ -95,10 +95,10 @@
   }
 }
 
-/// Bytes of a frame without its length.
+/// Frame without its length prefix.
 std::string Payload(const std::string& frame) { return frame.substr(kFrameLengthBytes); }
 
-/// Text with all fields of a message, of any depth.
+/// Text with all fields of a message, including nested ones.
 template <typename T>
 std::string Dump(const T& value) {
   if constexpr (std::is_arithmetic_v<T>) {
@@ -120,7 +120,7 @@
   return std::visit([](const auto& alternative) { return Dump(alternative); }, message);
 }
 
-// Guards against a field that is forgotten or swapped on either side.
+// Guards against a field that the encoder or the decoder omits or swaps.
 RC_GTEST_PROP(PeerCodecTest, EveryKindOfMessageSurvivesARoundTrip, ()) {
   for (std::size_t kind = 0; kind < std::variant_size_v<PeerMessage>; ++kind) {
     const PeerMessage message = Message(kind);
@@ -135,8 +135,8 @@
   }
 }
 
-// Guards against reads outside the buffer: any change of a frame is refused or decodes to some message.
-RC_GTEST_PROP(PeerCodecTest, CorruptedFramesAreRefusedOrDecoded, ()) {
+// Guards against reads outside the buffer on frames with a changed byte or a truncated end.
+RC_GTEST_PROP(PeerCodecTest, CorruptedFramesAreRejectedOrDecoded, ()) {
   std::string bytes = Payload(EncodeFrame(Message(*rc::gen::inRange<std::size_t>(0, 16))));
   const auto position = *rc::gen::inRange<std::size_t>(0, bytes.size());
   bytes[position] = *rc::gen::arbitrary<char>();
@@ -145,8 +145,8 @@
   RC_ASSERT(decoded.has_value() || !decoded.error().path.empty());
 }
 
-// Guards against reads outside the buffer, and against a value that was accepted but cannot be passed on.
-TEST(PeerCodecTest, MutatedFramesAreRefusedOrStable) {
+// Guards against reads outside the buffer, and against accepted values that cannot be encoded again.
+TEST(PeerCodecTest, MutatedFramesAreRejectedOrStable) {
   CheckWithFixedSeed(2'000, [] {
     const std::string bytes = MutatedBytes(Payload(EncodeFrame(Message(*rc::gen::inRange<std::size_t>(0, 16)))));
     const Result<PeerFrame> decoded = DecodeFrame(bytes);
@@ -161,7 +161,8 @@
   });
 }
 
-TEST(PeerCodecTest, RandomBytesAreRefused) {
+// Guards against random bytes that are accepted, or rejected without an error path.
+TEST(PeerCodecTest, RandomBytesAreRejected) {
   CheckWithFixedSeed(2'000, [] {
     const Result<PeerFrame> decoded = DecodeFrame(Text());
     RC_ASSERT(!decoded);
@@ -169,8 +170,8 @@
   });
 }
 
-// Guards against a number of a peer that overflows when it is added to the time, to an amount or to a counter.
-TEST(PeerCodecTest, NumbersOutOfRangeAreRefused) {
+// Guards against overflow when a number received from a peer is added to a time, an amount or a counter.
+TEST(PeerCodecTest, NumbersOutOfRangeAreRejected) {
   const auto path = [](const PeerMessage& message) {
     const Result<PeerFrame> decoded = DecodeFrame(Payload(EncodeFrame(message)));
     return decoded ? "no error" : decoded.error().path;
@@ -195,21 +196,22 @@
   EXPECT_EQ(path(AllotmentRequest{TeamId("desk"), INT64_MAX}), "amount");
 }
 
-TEST(PeerCodecTest, RefusesAnUnknownEnumerator) {
+// Guards against an enum value outside its name table, such as one from a newer version.
+TEST(PeerCodecTest, RejectsUnknownEnumerators) {
   std::string bytes = Payload(EncodeFrame(StopOrder{{TaskId("t"), 1}, StopMode::kThrottle}));
   const std::size_t position = bytes.find('\x02', 20);
-  bool refused = false;
+  bool rejected = false;
   for (std::size_t i = position; i < bytes.size(); ++i) {
     std::string changed = bytes;
     if (changed[i] != '\x02') continue;
     changed[i] = '\x7f';
     const Result<PeerFrame> decoded = DecodeFrame(changed);
-    refused = refused || (!decoded && decoded.error().path == "mode");
+    rejected = rejected || (!decoded && decoded.error().path == "mode");
   }
-  EXPECT_TRUE(refused);
+  EXPECT_TRUE(rejected);
 }
 
-/// One side of a link, which keeps the texts of received ConfigPush messages.
+/// An entry that records the ConfigPush messages it receives.
 class TestPeer {
  public:
   TestPeer(IoPool& pool, const EntryId& id, PeerLinksOptions options = {}) {
@@ -242,6 +244,7 @@
   IoPool m_pool{2};
 };
 
+// Guards against frames that are lost, cut or attributed to the wrong sender.
 TEST_F(PeerLinksTest, DeliversFramesWithTheSenderOfTheHello) {
   TestPeer a(m_pool, EntryId("a"));
   TestPeer b(m_pool, EntryId("b"));
@@ -252,8 +255,8 @@
   EXPECT_TRUE(b.WaitFor("a", std::string(1'000'000, 'x')));
 }
 
-// Guards against a message for one incarnation being taken by the next one at the same address.
-TEST_F(PeerLinksTest, NewIncarnationGetsNoFramesOfTheOldOne) {
+// Guards against a message for one incarnation being delivered to the next one at the same address.
+TEST_F(PeerLinksTest, NewIncarnationReceivesNoFramesForThePreviousOne) {
   TestPeer a(m_pool, EntryId("a"));
   TestPeer b(m_pool, EntryId("b.2"));
   a.links().Connect(EntryId("b.1"), b.links().address());
@@ -264,7 +267,8 @@
   EXPECT_EQ(b.links().counters().received, 1U);
 }
 
-TEST_F(PeerLinksTest, ConnectsAgainUnderANewIncarnation) {
+// Guards against frames that carry the old id, or no link at all, after the local id changes.
+TEST_F(PeerLinksTest, ReconnectsUnderANewIncarnation) {
   TestPeer a(m_pool, EntryId("a.1"));
   TestPeer b(m_pool, EntryId("b"));
   a.links().Connect(EntryId("b"), b.links().address());
@@ -275,7 +279,7 @@
   EXPECT_TRUE(b.WaitFor("a.2", "two"));
 }
 
-/// Sends bytes to the links and waits until they close the connection.
+/// Sends bytes to an address and waits until the connection is closed.
 void SendRaw(const std::string& address, const std::string& bytes) {
   boost::asio::io_context context;
   Tcp::socket socket(context);
@@ -286,14 +290,15 @@
   boost::asio::read(socket, boost::asio::dynamic_buffer(received_bytes), ec);
 }
 
+// Guards against delivering data from a link that violates the framing or the hello protocol.
 TEST_F(PeerLinksTest, MalformedFramesCloseTheLink) {
   TestPeer b(m_pool, EntryId("b"));
   const std::string hello = EncodeFrame(PeerHello{EntryId("a"), EntryId("b")});
   const std::vector<std::string> streams = {
-      hello + std::string("\x08\x00\x00\x00garbage!", 12),  // fails the verification
-      std::string("\xff\xff\xff\xff", 4),                   // longer than the bound
+      hello + std::string("\x08\x00\x00\x00garbage!", 12),  // verification fails
+      std::string("\xff\xff\xff\xff", 4),                   // exceeds the size limit
       EncodeFrame(ConfigPush{"before the hello"}),          // no hello
-      hello + hello,                                        // two of them
+      hello + hello,                                        // repeated hello
       hello + std::string("\x00\x00\x00\x00", 4),           // empty frame
   };
   for (std::size_t i = 0; i < streams.size(); ++i) {
@@ -303,7 +308,7 @@
   EXPECT_EQ(b.links().counters().received, 0U);
 }
 
-// Guards against a peer that reads nothing growing the memory of the sender.
+// Guards against unbounded memory use by the queue for a peer that does not read.
 TEST_F(PeerLinksTest, FullQueueDropsFrames) {
   boost::asio::io_context context;
   Tcp::acceptor unresponsive(context, Tcp::endpoint(boost::asio::ip::make_address("127.0.0.1"), 0));
--- a/src/net/problem.cc
+++ b/src/net/problem.cc
@@ -10,7 +10,7 @@
 namespace jaymast {
 namespace {
 
-/// A text that may repeat bytes of a malformed request, in a form that fits into JSON.
+/// Percent-encodes text that is not UTF-8, as it may contain bytes of a malformed request.
 std::string JsonSafeText(const std::string& text) { return IsUtf8(text) ? text : EncodeSegment(text); }
 
 }  // namespace
--- a/src/net/problem.h
+++ b/src/net/problem.h
@@ -6,7 +6,7 @@
 
 namespace jaymast {
 
-/// Response of type application/problem+json with the stable id as type, and the header Jaymast-Verdict.
+/// Creates a response of type application/problem+json, with the error id as its type, and the header Jaymast-Verdict.
 HttpResponse ProblemResponse(int status, const Error& error, Verdict verdict);
 
 }  // namespace jaymast
--- a/src/net/tls_context.cc
+++ b/src/net/tls_context.cc
@@ -26,7 +26,8 @@
   if (files.authority.empty()) return context;
   context->load_verify_file(files.authority, ec);
   if (ec) return FileError(files.authority, ec);
-  // A client always checks the server. A server checks only certificates that it asks for.
+  // A client always verifies the server. A server verifies a client certificate if one is sent, and requires one only
+  // with `require_certificate`.
   const ssl::verify_mode strict = files.require_certificate ? ssl::verify_fail_if_no_peer_cert : 0;
   context->set_verify_mode(ssl::verify_peer | strict, ec);
   if (ec) return FileError(files.authority, ec);
--- a/src/net/tls_context.h
+++ b/src/net/tls_context.h
@@ -12,24 +12,25 @@
 
 namespace jaymast {
 
-/// Files of one TLS side, in PEM format.
+/// Paths of the PEM files of a TLS client or server.
 struct TlsFiles {
   std::string certificate;           ///< certificate chain, empty for a client without a certificate
   std::string key;                   ///< private key of the certificate
-  std::string authority;             ///< certificates that sign accepted peers, empty to accept any peer
-  bool require_certificate = false;  ///< a server refuses clients without a certificate that `authority` signed
+  std::string authority;             ///< CA certificates for verifying peers, empty to accept any peer
+  bool require_certificate = false;  ///< whether a server rejects clients without a certificate signed by `authority`
 };
 
-/// TLS parameters for new connections. Connections that are open keep the parameters they started with.
+/// Loads and reloads the TLS parameters for new connections. Open connections keep the parameters they started with.
 class TlsContext {
  public:
-  /// @return the context, or an error with the path of the file that cannot be used
+  /// @return the context, or an error with the path of the invalid file
   static Result<std::shared_ptr<TlsContext>> Load(TlsFiles files);
 
-  /// Reads the files again. On error the previous parameters stay in use.
+  /// Reloads the files. On error the previous parameters stay in use.
+  /// @return true, or an error with the path of the invalid file
   Result<bool> Reload();
 
-  /// Parameters for a new connection.
+  /// Returns the parameters for a new connection.
   std::shared_ptr<boost::asio::ssl::context> Current() const;
 
  private:
