--- a/src/net/http_test.cc
+++ b/src/net/http_test.cc
@@ -22,8 +22,8 @@
 using std::chrono::milliseconds;
 using Tcp = boost::asio::ip::tcp;
 
-/// Upper bound of a wait for something that must happen. Tests do not depend on how fast it happens.
-constexpr milliseconds kPatience{20'000};
+/// Limit on waits for events that must happen. Tests do not depend on how soon they do.
+constexpr milliseconds kTestTimeout{20'000};
 
 void Echo(const HttpRequest& request, const HttpResponder& responder) {
   HttpResponse response;
@@ -42,10 +42,10 @@
   Tcp::socket socket(context);
   socket.connect(*ParseEndpoint(address));
   boost::asio::write(socket, boost::asio::buffer(bytes));
-  std::string answer;
+  std::string received_bytes;
   boost::system::error_code ec;
-  boost::asio::read(socket, boost::asio::dynamic_buffer(answer), ec);
-  return answer;
+  boost::asio::read(socket, boost::asio::dynamic_buffer(received_bytes), ec);
+  return received_bytes;
 }
 
 class HttpTest : public testing::Test {
@@ -62,12 +62,13 @@
   std::unique_ptr<HttpServer> m_server;
 };
 
-TEST_F(HttpTest, AnswersWithTheWholeBodyOverOneConnection) {
+// Guards against truncated bodies, and against a new connection for each request.
+TEST_F(HttpTest, ReturnsTheWholeBodyOverOneConnection) {
   Listen(Echo);
   BlockingHttpClient client;
   for (const std::size_t size : {0U, 1U, 100'000U, 3'000'000U}) {
     const std::string body(size, 'x');
-    const HttpResult result = client.Call(m_server->address(), Post("/a?b=c", body), kPatience);
+    const HttpResult result = client.Call(m_server->address(), Post("/a?b=c", body), kTestTimeout);
     ASSERT_EQ(result.status, SendStatus::kAnswered) << result.reason;
     EXPECT_EQ(result.response.body, body);
     EXPECT_EQ(FindHeader(result.response.headers, "echo-target"), "POST /a?b=c");
@@ -75,17 +76,18 @@
   EXPECT_EQ(m_server->open_connections(), 1U);
 }
 
-// Guards against retries of requests that were never sent being treated as possibly run.
+// Guards against a request that was never sent being reported as possibly run, which prevents a retry.
 TEST_F(HttpTest, ConnectionRefusedIsNotSent) {
   boost::asio::io_context context;
-  // The socket reserves a port on which nothing listens.
+  // The socket is bound but does not listen, so connections to its port are refused.
   Tcp::acceptor reserved(context, Tcp::v4());
   reserved.bind(Tcp::endpoint(boost::asio::ip::make_address("127.0.0.1"), 0));
   BlockingHttpClient client;
-  const HttpResult result = client.Call(FormatEndpoint(reserved.local_endpoint()), Post("/", "x"), kPatience);
+  const HttpResult result = client.Call(FormatEndpoint(reserved.local_endpoint()), Post("/", "x"), kTestTimeout);
   EXPECT_EQ(result.status, SendStatus::kNotSent) << result.reason;
 }
 
+// Guards against a request that may have run being reported as not sent.
 TEST_F(HttpTest, ConnectionClosedWithoutAResponseIsUnknown) {
   boost::asio::io_context context;
   Tcp::acceptor acceptor(context, Tcp::endpoint(boost::asio::ip::make_address("127.0.0.1"), 0));
@@ -96,11 +98,11 @@
     socket.read_some(boost::asio::buffer(bytes));
   });
   BlockingHttpClient client;
-  EXPECT_EQ(client.Call(address, Post("/", "x"), kPatience).status, SendStatus::kUnknown);
+  EXPECT_EQ(client.Call(address, Post("/", "x"), kTestTimeout).status, SendStatus::kUnknown);
   server.get();
 }
 
-// Guards against a late response being delivered to the next request of the same connection.
+// Guards against a late response being delivered to the next request on the same connection.
 TEST_F(HttpTest, LateResponseNeverReachesAnotherRequest) {
   std::promise<HttpResponder> late;
   Listen([&late](const HttpRequest& request, const HttpResponder& responder) {
@@ -116,13 +118,13 @@
   EXPECT_EQ(first.get_future().get().status, SendStatus::kUnknown);
   late.get_future().get().Respond(HttpResponse{200, {}, "late"});
   std::promise<HttpResult> second;
-  client.Send(m_server->address(), Post("/", "second"), std::chrono::steady_clock::now() + kPatience,
+  client.Send(m_server->address(), Post("/", "second"), std::chrono::steady_clock::now() + kTestTimeout,
               [&second](HttpResult result) { second.set_value(std::move(result)); });
   EXPECT_EQ(second.get_future().get().response.body, "second");
 }
 
-// Guards against responses that complete in another order than their requests, and against double responses.
-TEST_F(HttpTest, CrossedResponsesReachTheirOwnRequests) {
+// Guards against mixed-up responses when requests complete out of order, and against second responses to a request.
+TEST_F(HttpTest, OutOfOrderResponsesReachTheirOwnRequests) {
   constexpr int kRequests = 8;
   std::mutex mutex;
   std::vector<std::pair<HttpRequest, HttpResponder>> waiting;
@@ -140,14 +142,15 @@
   for (int round = 0; round < 5; ++round) {
     std::vector<std::promise<HttpResult>> results(kRequests);
     for (int i = 0; i < kRequests; ++i) {
-      client.Send(m_server->address(), Post("/", std::to_string(i)), std::chrono::steady_clock::now() + kPatience,
+      client.Send(m_server->address(), Post("/", std::to_string(i)), std::chrono::steady_clock::now() + kTestTimeout,
                   [&results, i](HttpResult result) { results[i].set_value(std::move(result)); });
     }
     for (int i = 0; i < kRequests; ++i) EXPECT_EQ(results[i].get_future().get().response.body, std::to_string(i));
   }
 }
 
-TEST_F(HttpTest, QueuedRequestIsNotSentAtItsDeadline) {
+// Guards against a request that is still queued at its deadline being sent later or reported as possibly run.
+TEST_F(HttpTest, QueuedRequestPastItsDeadlineIsNotSent) {
   Listen([](const HttpRequest&, const HttpResponder&) {});
   HttpClientOptions options;
   options.max_connections_per_host = 1;
@@ -163,7 +166,8 @@
   EXPECT_EQ(first.get_future().get().status, SendStatus::kUnknown);
 }
 
-TEST_F(HttpTest, SlowHeaderAndSlowBodyAreCut) {
+// Guards against clients that hold connections open with incomplete requests.
+TEST_F(HttpTest, IncompleteHeadersAndBodiesTimeOut) {
   HttpServerOptions options;
   options.header_timeout = milliseconds(50);
   options.body_timeout = milliseconds(50);
@@ -172,7 +176,8 @@
   EXPECT_EQ(RawExchange(m_server->address(), "POST / HTTP/1.1\r\nContent-Length: 9\r\n\r\nabc"), "");
 }
 
-TEST_F(HttpTest, RefusesOversizedAndMalformedRequestsAsNotRun) {
+// Guards against oversized or malformed requests reaching the handler, or being rejected without the verdict "not_run".
+TEST_F(HttpTest, RejectsOversizedAndMalformedRequestsAsNotRun) {
   HttpServerOptions options;
   options.max_body_bytes = 10;
   options.max_header_bytes = 200;
@@ -187,42 +192,45 @@
   EXPECT_NE(malformed.find("400"), std::string::npos) << malformed;
 }
 
-TEST_F(HttpTest, RefusesConnectionsAboveTheLimit) {
+// Guards against connections above the limit being served, or closed without a response.
+TEST_F(HttpTest, RejectsConnectionsAboveTheLimit) {
   HttpServerOptions options;
   options.max_connections = 1;
   Listen(Echo, options);
   BlockingHttpClient client;
-  ASSERT_EQ(client.Call(m_server->address(), Post("/", "x"), kPatience).response.status, 200);
+  ASSERT_EQ(client.Call(m_server->address(), Post("/", "x"), kTestTimeout).response.status, 200);
   EXPECT_NE(RawExchange(m_server->address(), "").find("503"), std::string::npos);
   EXPECT_EQ(m_server->refused_connections(), 1U);
 }
 
-TEST_F(HttpTest, ReportsThatTheCallerIsGone) {
+// Guards against a request staying open after its client disconnected.
+TEST_F(HttpTest, ReportsClientDisconnect) {
   std::promise<void> gone;
   Listen(
       [&gone](const HttpRequest&, const HttpResponder& responder) { responder.OnGone([&gone] { gone.set_value(); }); });
   HttpClient client(m_pool, {});
   client.Send(m_server->address(), Post("/", ""), std::chrono::steady_clock::now() + milliseconds(50),
               [](const HttpResult&) {});
-  EXPECT_EQ(gone.get_future().wait_for(kPatience), std::future_status::ready);
+  EXPECT_EQ(gone.get_future().wait_for(kTestTimeout), std::future_status::ready);
 }
 
-// Guards G10: a planned stop must not cut a request that was received.
+// Guards against a graceful shutdown aborting a request in flight (G10).
 TEST_F(HttpTest, ShutdownFinishesTheRequestInFlight) {
   std::promise<HttpResponder> received;
   Listen([&received](const HttpRequest&, const HttpResponder& responder) { received.set_value(responder); });
   std::future<HttpResult> result = std::async(std::launch::async, [this] {
     BlockingHttpClient client;
-    return client.Call(m_server->address(), Post("/", "x"), kPatience);
+    return client.Call(m_server->address(), Post("/", "x"), kTestTimeout);
   });
   const HttpResponder responder = received.get_future().get();
   m_server->BeginShutdown();
   EXPECT_FALSE(m_server->WaitForShutdown(milliseconds(10)));
   responder.Respond(HttpResponse{200, {}, "finished"});
   EXPECT_EQ(result.get().response.body, "finished");
-  EXPECT_TRUE(m_server->WaitForShutdown(kPatience));
+  EXPECT_TRUE(m_server->WaitForShutdown(kTestTimeout));
 }
 
+// Guards against a bind failure that is ignored or does not name the address.
 TEST_F(HttpTest, PortInUseIsAnErrorWithTheAddress) {
   Listen(Echo);
   HttpServerOptions options;
