--- a/src/runtime/control_loop.h
+++ b/src/runtime/control_loop.h
@@ -44,7 +44,7 @@
   std::size_t queued() const;
 
   /// Time that the thread has spent in tasks and ticks.
-  Duration busy() const { return Duration(m_busy_micros.load(std::memory_order_relaxed)); }
+  Duration busy_time() const { return Duration(m_busy_micros.load(std::memory_order_relaxed)); }
 
  private:
   void Run();
--- a/src/runtime/entry_process.cc
+++ b/src/runtime/entry_process.cc
@@ -187,7 +187,8 @@
   samples.gauges["jaymast_http_connections"] = static_cast<double>(parts.server->open_connections());
   samples.gauges["jaymast_control_queue_tasks"] = static_cast<double>(parts.control.queued());
   samples.gauges["jaymast_event_queue_lines"] = static_cast<double>(parts.events.queued());
-  samples.counters["jaymast_control_busy_seconds_total"] = std::chrono::duration<double>(parts.control.busy()).count();
+  samples.counters["jaymast_control_busy_seconds_total"] =
+      std::chrono::duration<double>(parts.control.busy_time()).count();
   samples.counters["jaymast_http_connections_refused_total"] = static_cast<double>(parts.server->refused_connections());
   samples.counters["jaymast_events_dropped_total"] = static_cast<double>(parts.events.dropped());
   samples.counters["jaymast_peer_frames_sent_total"] = static_cast<double>(links.sent);
--- a/src/runtime/entry_process_test.cc
+++ b/src/runtime/entry_process_test.cc
@@ -20,9 +20,9 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kPatience{20'000};
+constexpr milliseconds kTimeout{20'000};
 /// Nothing listens on this port of the loopback network.
-constexpr const char* kDeadAddress = "127.0.0.1:1";
+constexpr const char* kClosedPortAddress = "127.0.0.1:1";
 
 /// Core that passes each preview to the runner at the address in its body and answers with the status of the call.
 class RelayCore : public CoreDriver {
@@ -32,7 +32,7 @@
   void Start() override { m_thread = std::this_thread::get_id(); }
 
   void OnRequest(RequestId id, const Request& request) override {
-    if (std::holds_alternative<ViewRequest>(request)) return Answer(id, CheckSecret(std::get<ViewRequest>(request)));
+    if (std::holds_alternative<ViewRequest>(request)) return Send(id, CheckSecret(std::get<ViewRequest>(request)));
     if (std::holds_alternative<PlanRequest>(request)) return Commit(id);
     if (!std::holds_alternative<PreviewRequest>(request)) return;
     const auto& preview = std::get<PreviewRequest>(request);
@@ -41,7 +41,7 @@
     m_is_calling = true;
     m_effects.CallUpstream(UpstreamId("u"), preview.spec.body, run, preview.deadline,
                            [this, id](const UpstreamReply& reply) {
-                             Answer(id, 200, std::string(ToString(reply.status)) + " " + reply.output);
+                             Send(id, 200, std::string(ToString(reply.status)) + " " + reply.output);
                            });
     m_is_calling = false;
   }
@@ -63,10 +63,10 @@
 
   void Commit(RequestId id) {
     m_effects.Commit(Transaction{TransactionId("t"), {}, {}},
-                     [this, id](const CommitReply& reply) { Answer(id, 200, std::string(ToString(reply.status))); });
+                     [this, id](const CommitReply& reply) { Send(id, 200, std::string(ToString(reply.status))); });
   }
 
-  void Answer(RequestId id, int status, std::string body = "") {
+  void Send(RequestId id, int status, std::string body = "") {
     // Callbacks run on the control thread and not inside the call that registered them.
     const bool is_allowed = std::this_thread::get_id() == m_thread && !m_is_calling;
     Event event;
@@ -100,8 +100,8 @@
   EntryProcessTest() {
     Settings settings;
     settings.core.name = "relay";
-    settings.platform.table = kDeadAddress;
-    settings.platform.instances = kDeadAddress;
+    settings.platform.table = kClosedPortAddress;
+    settings.platform.instances = kClosedPortAddress;
     settings.events.output = EventOutput::kNone;
     settings.traffic_threads = 2;
     auto process = EntryProcess::Start(settings, [this](const EntrySettings&, Effects& effects) {
@@ -122,7 +122,7 @@
   HttpResponse Call(const std::string& method, const std::string& target, const std::string& body = "",
                     HttpHeaders headers = {}) {
     const HttpRequest request{method, target, std::move(headers), body};
-    return m_client.Call(m_process->http_address(), request, kPatience).response;
+    return m_client.Call(m_process->http_address(), request, kTimeout).response;
   }
 
   std::string Preview(const std::string& runner, const std::string& deadline_ms = "20000") {
@@ -146,9 +146,9 @@
 
 // Guards G7: "not sent" is only reported when the runner cannot have seen the request.
 TEST_F(EntryProcessTest, CallsEndByTheirDeadlineAsNotSentOrUnknown) {
-  const std::string silent = StartRunner([](const HttpRequest&, const HttpResponder&) {});
-  EXPECT_EQ(Preview(kDeadAddress), "not_sent ");
-  EXPECT_EQ(Preview(silent, "100"), "unknown ");
+  const std::string unresponsive_runner = StartRunner([](const HttpRequest&, const HttpResponder&) {});
+  EXPECT_EQ(Preview(kClosedPortAddress), "not_sent ");
+  EXPECT_EQ(Preview(unresponsive_runner, "100"), "unknown ");
 }
 
 TEST_F(EntryProcessTest, MalformedOrFailedAnswersOfARunnerAreUnknown) {
@@ -173,7 +173,7 @@
 }
 
 TEST_F(EntryProcessTest, EventsNeedTheKeyThatTheCoreAccepts) {
-  Preview(kDeadAddress);
+  Preview(kClosedPortAddress);
   EXPECT_EQ(Call("GET", "/v1/events").status, 401);
   const HttpResponse events = Call("GET", "/v1/events?since=0", "", {{"Authorization", "Bearer operator"}});
   EXPECT_EQ(events.status, 200);
@@ -184,7 +184,7 @@
 }
 
 TEST_F(EntryProcessTest, ServesHealthAndMetrics) {
-  Preview(kDeadAddress);
+  Preview(kClosedPortAddress);
   EXPECT_EQ(Call("GET", "/healthz").status, 200);
   EXPECT_EQ(Call("GET", "/readyz").status, 200);
   const std::string metrics = Call("GET", "/metrics").body;
@@ -199,7 +199,7 @@
   // The core leaves a task status request open.
   const HttpRequest request{"GET", "/v1/tasks/t1?wait_ms=1000", {}, ""};
   m_client.Call(m_process->http_address(), request, milliseconds(50));
-  EXPECT_EQ(m_core->gone.get_future().wait_for(kPatience), std::future_status::ready);
+  EXPECT_EQ(m_core->gone.get_future().wait_for(kTimeout), std::future_status::ready);
 }
 
 // Guards G10: the request in flight is answered before the process stops.
@@ -207,20 +207,20 @@
   std::promise<HttpResponder> received;
   const std::string runner =
       StartRunner([&received](const HttpRequest&, const HttpResponder& responder) { received.set_value(responder); });
-  std::future<std::string> answer = std::async(std::launch::async, [this, &runner] { return Preview(runner); });
+  std::future<std::string> preview_body = std::async(std::launch::async, [this, &runner] { return Preview(runner); });
   const HttpResponder responder = received.get_future().get();
   m_process->RequestStop();
-  std::future<bool> stopped = std::async(std::launch::async, [this] { return m_process->WaitUntilStopped(kPatience); });
+  std::future<bool> stopped = std::async(std::launch::async, [this] { return m_process->WaitUntilStopped(kTimeout); });
   responder.Respond(HttpResponse{200, {}, OkReply("finished")});
-  EXPECT_EQ(answer.get(), "ok finished");
+  EXPECT_EQ(preview_body.get(), "ok finished");
   EXPECT_TRUE(stopped.get());
 }
 
 TEST_F(EntryProcessTest, PortInUseIsAnErrorWithTheAddress) {
   Settings settings;
   settings.http.address = m_process->http_address();
-  settings.platform.table = kDeadAddress;
-  settings.platform.instances = kDeadAddress;
+  settings.platform.table = kClosedPortAddress;
+  settings.platform.instances = kClosedPortAddress;
   settings.events.output = EventOutput::kNone;
   const auto second = EntryProcess::Start(
       settings, [](const EntrySettings&, Effects& effects) { return std::make_unique<RelayCore>(effects); });
--- a/src/runtime/event_log.cc
+++ b/src/runtime/event_log.cc
@@ -39,9 +39,9 @@
 EventLog::Page EventLog::Read(std::optional<std::uint64_t> since) const {
   const std::lock_guard lock(m_mutex);
   const std::uint64_t first = m_next - m_ring.size();
-  const std::uint64_t last_page = m_next - std::min(m_ring.size(), kMaxPage);
+  const std::uint64_t last_page = m_next - std::min(m_ring.size(), kMaxPageEvents);
   const std::uint64_t begin = std::clamp(since.value_or(last_page), first, m_next);
-  const std::uint64_t end = std::min<std::uint64_t>(begin + kMaxPage, m_next);
+  const std::uint64_t end = std::min<std::uint64_t>(begin + kMaxPageEvents, m_next);
   Page page;
   page.next = end;
   for (std::uint64_t number = begin; number < end; ++number) page.lines += EncodeEvent(m_ring[number - first]) + '\n';
--- a/src/runtime/event_log.h
+++ b/src/runtime/event_log.h
@@ -46,7 +46,7 @@
   std::uint64_t dropped() const { return m_dropped; }
 
   /// Most events in a page. Pages are made on the control thread, so they must not take long.
-  static constexpr std::size_t kMaxPage = 1000;
+  static constexpr std::size_t kMaxPageEvents = 1000;
 
  private:
   void Run();
--- a/src/runtime/event_log_test.cc
+++ b/src/runtime/event_log_test.cc
@@ -49,7 +49,7 @@
   EventSettings settings;
   settings.output = EventOutput::kNone;
   EventLog log(settings);
-  constexpr std::int64_t kEvents = 2 * EventLog::kMaxPage + 5;
+  constexpr std::int64_t kEvents = 2 * EventLog::kMaxPageEvents + 5;
   for (std::int64_t i = 0; i < kEvents; ++i) log.Append(NumberedEvent(i));
   std::uint64_t next = 0;
   std::string lines;
@@ -62,7 +62,7 @@
   EXPECT_EQ(std::count(lines.begin(), lines.end(), '\n'), kEvents);
   const std::string tail = log.Read(std::nullopt).lines;
   EXPECT_EQ(lines.substr(lines.size() - tail.size()), tail);
-  EXPECT_EQ(std::count(tail.begin(), tail.end(), '\n'), static_cast<std::int64_t>(EventLog::kMaxPage));
+  EXPECT_EQ(std::count(tail.begin(), tail.end(), '\n'), static_cast<std::int64_t>(EventLog::kMaxPageEvents));
 }
 
 // Guards against an event output that nobody reads growing the memory of the process or blocking the control thread.
--- a/src/runtime/http_routes.cc
+++ b/src/runtime/http_routes.cc
@@ -43,7 +43,7 @@
 }
 
 /// Parts of an HTTP request that the routes share.
-struct Call {
+struct RequestContext {
   const HttpRequest& http;
   std::string secret;
   Time now;
@@ -59,9 +59,9 @@
   return std::optional<Time>(now + std::chrono::milliseconds(*ms));
 }
 
-Time WaitUntil(const Call& call, std::int64_t wait_ms) {
-  const Time wait_until = call.now + std::chrono::milliseconds(wait_ms);
-  return call.deadline ? std::min(*call.deadline, wait_until) : wait_until;
+Time WaitUntil(const RequestContext& context, std::int64_t wait_ms) {
+  const Time wait_until = context.now + std::chrono::milliseconds(wait_ms);
+  return context.deadline ? std::min(*context.deadline, wait_until) : wait_until;
 }
 
 /// Applies the header Idempotency-Key to the tasks of a request. Several tasks get one key each.
@@ -84,8 +84,8 @@
   return std::nullopt;
 }
 
-Result<Request> ReadPreview(const Call& call) {
-  const Result<json::object> body = ParseObject(call.http.body, "body");
+Result<Request> ReadPreview(const RequestContext& context) {
+  const Result<json::object> body = ParseObject(context.http.body, "body");
   if (!body) return body.error();
   json::object task = *body;
   // A preview is a class of its own, so the field may be left out.
@@ -94,7 +94,7 @@
   if (!spec) return spec.error();
   if (spec->work_class != WorkClass::kPreview) return FieldError("body/class", "expected preview");
   if (spec->semantics != Semantics::kIdempotent) return FieldError("body/semantics", "expected idempotent");
-  return Request(PreviewRequest{call.secret, std::move(*spec), call.deadline.value_or(call.preview_deadline)});
+  return Request(PreviewRequest{context.secret, std::move(*spec), context.deadline.value_or(context.preview_deadline)});
 }
 
 Result<std::vector<TaskSpec>> ReadTaskList(const json::array& tasks) {
@@ -131,24 +131,24 @@
   return ReadTaskList(*tasks);
 }
 
-Result<Request> ReadSubmit(const Call& call) {
-  const Result<json::object> body = ParseObject(call.http.body, "body");
+Result<Request> ReadSubmit(const RequestContext& context) {
+  const Result<json::object> body = ParseObject(context.http.body, "body");
   if (!body) return body.error();
   std::int64_t wait_ms = 0;
   Result<std::vector<TaskSpec>> specs = ReadTasks(*body, wait_ms);
   if (!specs) return specs.error();
-  if (const auto error = ApplyIdempotencyKey(call.http, *specs)) return *error;
-  return Request(SubmitRequest{call.secret, std::move(*specs), WaitUntil(call, wait_ms)});
+  if (const auto error = ApplyIdempotencyKey(context.http, *specs)) return *error;
+  return Request(SubmitRequest{context.secret, std::move(*specs), WaitUntil(context, wait_ms)});
 }
 
-Result<Request> ReadTaskStatus(const Call& call, const std::string& task) {
-  const Result<std::int64_t> wait_ms = QueryInt(call.http.target, "wait_ms", 0, kMaxWaitMs);
+Result<Request> ReadTaskStatus(const RequestContext& context, const std::string& task) {
+  const Result<std::int64_t> wait_ms = QueryInt(context.http.target, "wait_ms", 0, kMaxWaitMs);
   if (!wait_ms) return wait_ms.error();
-  return Request(TaskStatusRequest{call.secret, TaskId(task), WaitUntil(call, *wait_ms)});
+  return Request(TaskStatusRequest{context.secret, TaskId(task), WaitUntil(context, *wait_ms)});
 }
 
-Result<Request> ReadPlan(const Call& call) {
-  const Result<json::object> body = ParseObject(call.http.body, "body");
+Result<Request> ReadPlan(const RequestContext& context) {
+  const Result<json::object> body = ParseObject(context.http.body, "body");
   if (!body) return body.error();
   FieldReader reader(*body, "body");
   const json::array* array = reader.Array("intents");
@@ -157,7 +157,7 @@
   }
   reader.RejectUnknown();
   if (reader.error()) return *reader.error();
-  PlanRequest request{call.secret, {}};
+  PlanRequest request{context.secret, {}};
   for (const json::value& value : *array) {
     const std::string path = fmt::format("body/intents/{}", request.intents.size());
     if (!value.is_object()) return FieldError(path, "expected an object");
@@ -168,8 +168,8 @@
   return Request(std::move(request));
 }
 
-Result<Request> ReadConfirm(const Call& call, const std::string& plan) {
-  const Result<json::object> body = ParseObject(call.http.body, "body");
+Result<Request> ReadConfirm(const RequestContext& context, const std::string& plan) {
+  const Result<json::object> body = ParseObject(context.http.body, "body");
   if (!body) return body.error();
   FieldReader reader(*body, "body");
   constexpr std::int64_t kAbsent = -1;
@@ -177,35 +177,35 @@
   if (version == kAbsent) reader.Fail("base_version", "required whole number");
   reader.RejectUnknown();
   if (reader.error()) return *reader.error();
-  return Request(ConfirmRequest{call.secret, PlanId(plan), version});
+  return Request(ConfirmRequest{context.secret, PlanId(plan), version});
 }
 
 /// Request for a view, or nothing when the path names none.
-std::optional<Request> ReadView(const Call& call, const Segments& path) {
+std::optional<Request> ReadView(const RequestContext& context, const Segments& path) {
   const std::optional<View> view = FromString<View>(path.at(1));
   if (!view) return std::nullopt;
   const bool is_explain = *view == View::kExplain;
   if (path.size() != (is_explain ? 3U : 2U)) return std::nullopt;
-  return Request(ViewRequest{call.secret, *view, is_explain ? TaskId(path.at(2)) : TaskId()});
+  return Request(ViewRequest{context.secret, *view, is_explain ? TaskId(path.at(2)) : TaskId()});
 }
 
-Result<Request> Route(const Call& call, const Segments& path) {
-  const std::string& method = call.http.method;
-  const Error unknown{ErrorId::kRouteUnknown, method + " " + call.http.target, "unknown route"};
+Result<Request> Route(const RequestContext& context, const Segments& path) {
+  const std::string& method = context.http.method;
+  const Error unknown{ErrorId::kRouteUnknown, method + " " + context.http.target, "unknown route"};
   if (path.size() < 2 || path.size() > 4 || path[0] != "v1") return unknown;
   const std::string& name = path[1];
   const bool is_collection = path.size() == 2;
-  if (method == "POST" && is_collection && name == "previews") return ReadPreview(call);
-  if (method == "POST" && is_collection && name == "tasks") return ReadSubmit(call);
-  if (method == "POST" && is_collection && name == "plans") return ReadPlan(call);
+  if (method == "POST" && is_collection && name == "previews") return ReadPreview(context);
+  if (method == "POST" && is_collection && name == "tasks") return ReadSubmit(context);
+  if (method == "POST" && is_collection && name == "plans") return ReadPlan(context);
   const bool is_confirm = path.size() == 4 && name == "plans" && path[3] == "confirm";
-  if (method == "POST" && is_confirm) return ReadConfirm(call, path[2]);
+  if (method == "POST" && is_confirm) return ReadConfirm(context, path[2]);
   if (method == "DELETE" && path.size() == 3 && name == "tasks") {
-    return Request(CancelRequest{call.secret, TaskId(path[2])});
+    return Request(CancelRequest{context.secret, TaskId(path[2])});
   }
   if (method != "GET") return unknown;
-  if (path.size() == 3 && name == "tasks") return ReadTaskStatus(call, path[2]);
-  std::optional<Request> view = ReadView(call, path);
+  if (path.size() == 3 && name == "tasks") return ReadTaskStatus(context, path[2]);
+  std::optional<Request> view = ReadView(context, path);
   if (!view) return unknown;
   return std::move(*view);
 }
@@ -240,7 +240,7 @@
   if (!deadline) return deadline.error();
   const Result<Segments> path = SplitPath(http.target);
   if (!path) return path.error();
-  return Route(Call{http, BearerSecret(http), now, *deadline, now + preview_deadline}, *path);
+  return Route(RequestContext{http, BearerSecret(http), now, *deadline, now + preview_deadline}, *path);
 }
 
 int HttpStatusOf(const Error& error) {
--- a/src/runtime/http_runner.cc
+++ b/src/runtime/http_runner.cc
@@ -12,7 +12,7 @@
 namespace jaymast {
 namespace {
 
-UpstreamReply WithoutAnswer(CallStatus status, std::string reason) {
+UpstreamReply FailedReply(CallStatus status, std::string reason) {
   UpstreamReply reply;
   reply.status = status;
   reply.reason = std::move(reason);
@@ -27,18 +27,18 @@
 }
 
 UpstreamReply UpstreamReplyOf(const HttpResult& result) {
-  if (result.status == SendStatus::kNotSent) return WithoutAnswer(CallStatus::kNotSent, result.reason);
-  if (result.status == SendStatus::kUnknown) return WithoutAnswer(CallStatus::kUnknown, result.reason);
+  if (result.status == SendStatus::kNotSent) return FailedReply(CallStatus::kNotSent, result.reason);
+  if (result.status == SendStatus::kUnknown) return FailedReply(CallStatus::kUnknown, result.reason);
   const HttpResponse& response = result.response;
   if (response.status != kStatusOk && response.status != kStatusConflict) {
     // A refusal by the HTTP server of the runner says whether the request can have reached the runner.
     const bool is_not_run = FindHeader(response.headers, "Jaymast-Verdict") == ToString(Verdict::kNotRun);
     const std::string reason = fmt::format("HTTP status {}", response.status);
-    return WithoutAnswer(is_not_run ? CallStatus::kNotSent : CallStatus::kUnknown, reason);
+    return FailedReply(is_not_run ? CallStatus::kNotSent : CallStatus::kUnknown, reason);
   }
   Result<UpstreamReply> reply = DecodeUpstreamReply(response.body);
   if (reply) return std::move(*reply);
-  return WithoutAnswer(CallStatus::kUnknown, reply.error().path + ": " + reply.error().reason);
+  return FailedReply(CallStatus::kUnknown, reply.error().path + ": " + reply.error().reason);
 }
 
 }  // namespace jaymast
--- a/src/runtime/instance_poller.cc
+++ b/src/runtime/instance_poller.cc
@@ -44,14 +44,14 @@
  private:
   void OnResult(const HttpResult& result) {
     if (m_is_stopped) return;
-    if (result.status == SendStatus::kAnswered && result.response.status == kStatusOk) Take(result.response.body);
+    if (result.status == SendStatus::kAnswered && result.response.status == kStatusOk) Deliver(result.response.body);
     m_timer.expires_after(m_interval);
     m_timer.async_wait([self = shared_from_this()](boost::system::error_code ec) {
       if (!ec) self->Poll();
     });
   }
 
-  void Take(const std::string& body) {
+  void Deliver(const std::string& body) {
     const Result<boost::json::object> object = ParseObject(body, "instances");
     Result<InstanceList> list =
         object ? InstanceListFromJson(*object, "instances") : Result<InstanceList>(object.error());
--- a/src/runtime/metrics.cc
+++ b/src/runtime/metrics.cc
@@ -24,7 +24,7 @@
   return bh::make_histogram_with(bh::dense_storage<Count>(), Axis(kBuckets, kMinSeconds, kMaxSeconds));
 }
 
-prometheus::MetricFamily Single(const std::string& name, prometheus::MetricType type, double value) {
+prometheus::MetricFamily SingleValueFamily(const std::string& name, prometheus::MetricType type, double value) {
   prometheus::ClientMetric metric;
   metric.gauge.value = value;
   metric.counter.value = value;
@@ -34,11 +34,11 @@
 }  // namespace
 
 struct Metrics::Histograms {
-  struct Entry {
+  struct Series {
     decltype(MakeHistogram()) histogram = MakeHistogram();
     std::atomic<std::int64_t> sum_micros = 0;
   };
-  std::array<Entry, EnumNames<Timing>::kNames.size()> entries;
+  std::array<Series, EnumNames<Timing>::kNames.size()> by_timing;
 };
 
 Metrics::Metrics() : m_histograms(std::make_unique<Histograms>()) {}
@@ -46,9 +46,9 @@
 Metrics::~Metrics() = default;
 
 void Metrics::Observe(Timing timing, std::chrono::microseconds time) {
-  Histograms::Entry& entry = m_histograms->entries.at(static_cast<std::size_t>(timing));
-  entry.histogram(std::chrono::duration<double>(time).count());
-  entry.sum_micros.fetch_add(time.count(), std::memory_order_relaxed);
+  Histograms::Series& series = m_histograms->by_timing.at(static_cast<std::size_t>(timing));
+  series.histogram(std::chrono::duration<double>(time).count());
+  series.sum_micros.fetch_add(time.count(), std::memory_order_relaxed);
 }
 
 void Metrics::CountResponse(Verdict verdict) {
@@ -57,16 +57,16 @@
 
 std::string Metrics::Render(const Samples& samples) const {
   std::vector<prometheus::MetricFamily> families;
-  for (std::size_t i = 0; i < m_histograms->entries.size(); ++i) {
-    const Histograms::Entry& entry = m_histograms->entries.at(i);
+  for (std::size_t i = 0; i < m_histograms->by_timing.size(); ++i) {
+    const Histograms::Series& series = m_histograms->by_timing.at(i);
     prometheus::ClientMetric metric;
     std::uint64_t cumulative = 0;
-    for (const auto& cell : bh::indexed(entry.histogram, bh::coverage::all)) {
+    for (const auto& cell : bh::indexed(series.histogram, bh::coverage::all)) {
       cumulative += cell->value();
       metric.histogram.bucket.push_back({cumulative, cell.bin().upper()});
     }
     metric.histogram.sample_count = cumulative;
-    metric.histogram.sample_sum = std::chrono::duration<double>(std::chrono::microseconds(entry.sum_micros)).count();
+    metric.histogram.sample_sum = std::chrono::duration<double>(std::chrono::microseconds(series.sum_micros)).count();
     const std::string name = "jaymast_" + std::string(ToString(static_cast<Timing>(i))) + "_seconds";
     families.push_back({name, "", prometheus::MetricType::Histogram, {metric}});
   }
@@ -79,10 +79,10 @@
   }
   families.push_back(std::move(responses));
   for (const auto& [name, value] : samples.gauges) {
-    families.push_back(Single(name, prometheus::MetricType::Gauge, value));
+    families.push_back(SingleValueFamily(name, prometheus::MetricType::Gauge, value));
   }
   for (const auto& [name, value] : samples.counters) {
-    families.push_back(Single(name, prometheus::MetricType::Counter, value));
+    families.push_back(SingleValueFamily(name, prometheus::MetricType::Counter, value));
   }
   std::ostringstream out;
   prometheus::TextSerializer().Serialize(out, families);
--- a/src/runtime/process_effects.cc
+++ b/src/runtime/process_effects.cc
@@ -24,7 +24,7 @@
 
 /// Function that posts the call of a callback to the control thread.
 template <typename Reply>
-auto OnControlThread(ControlLoop& control, std::function<void(const Reply&)> done) {
+auto PostToControlThread(ControlLoop& control, std::function<void(const Reply&)> done) {
   return [&control, done = std::move(done)](const Reply& reply) { control.Post([done, reply] { done(reply); }); };
 }
 
@@ -38,15 +38,15 @@
 std::uint64_t ProcessEffects::Random() { return m_random(); }
 
 void ProcessEffects::Commit(const Transaction& transaction, CommitCallback done) {
-  m_parts.table.Commit(transaction, OnControlThread<CommitReply>(m_parts.control, std::move(done)));
+  m_parts.table.Commit(transaction, PostToControlThread<CommitReply>(m_parts.control, std::move(done)));
 }
 
 void ProcessEffects::Read(const ReadRequest& request, ReadCallback done) {
-  m_parts.table.Read(request, OnControlThread<ReadReply>(m_parts.control, std::move(done)));
+  m_parts.table.Read(request, PostToControlThread<ReadReply>(m_parts.control, std::move(done)));
 }
 
 void ProcessEffects::Lookup(const TransactionId& id, LookupCallback done) {
-  m_parts.table.Lookup(id, OnControlThread<LookupReply>(m_parts.control, std::move(done)));
+  m_parts.table.Lookup(id, PostToControlThread<LookupReply>(m_parts.control, std::move(done)));
 }
 
 void ProcessEffects::ConnectPeer(const EntryId& peer, const std::string& address) {
--- a/src/runtime/request_gate.cc
+++ b/src/runtime/request_gate.cc
@@ -59,31 +59,31 @@
 }
 
 void RequestGate::Submit(Request request, const HttpResponder& responder, Convert convert) {
-  if (++m_open_count > m_options.max_open) {
+  if (++m_open_count > m_options.max_open_requests) {
     --m_open_count;
     m_metrics.CountResponse(Verdict::kNotRun);
     const Error error{ErrorId::kQueueFull, "request", "too many open requests"};
     return responder.Respond(ProblemResponse(kStatusUnavailable, error, Verdict::kNotRun));
   }
   const RequestId id = ++m_last_id;
-  Open open{responder, std::move(convert), std::nullopt};
+  OpenRequest open{responder, std::move(convert), std::nullopt};
   if (std::holds_alternative<PreviewRequest>(request)) open.preview_begin = m_clock.Now();
   responder.OnGone([this, id] { m_control.Post([this, id] { OnGone(id); }); });
   m_control.Post([this, id, request = std::move(request), open = std::move(open)] { Begin(id, request, open); });
 }
 
-void RequestGate::Begin(RequestId id, const Request& request, Open open) {
-  m_open.emplace(id, std::move(open));
+void RequestGate::Begin(RequestId id, const Request& request, OpenRequest open) {
+  m_open_requests.emplace(id, std::move(open));
   const Time begin = m_clock.Now();
   m_core->OnRequest(id, request);
   m_metrics.Observe(Timing::kDecision, m_clock.Now() - begin);
 }
 
 void RequestGate::Reply(RequestId id, const Response& response) {
-  const auto it = m_open.find(id);
-  if (it == m_open.end()) return;
-  const Open open = std::move(it->second);
-  m_open.erase(it);
+  const auto it = m_open_requests.find(id);
+  if (it == m_open_requests.end()) return;
+  const OpenRequest open = std::move(it->second);
+  m_open_requests.erase(it);
   --m_open_count;
   m_metrics.CountResponse(response.verdict);
   if (open.preview_begin) m_metrics.Observe(Timing::kPreview, m_clock.Now() - *open.preview_begin);
@@ -91,7 +91,7 @@
 }
 
 void RequestGate::OnGone(RequestId id) {
-  if (m_open.erase(id) == 0) return;
+  if (m_open_requests.erase(id) == 0) return;
   --m_open_count;
   m_core->OnRequestGone(id);
 }
--- a/src/runtime/request_gate.h
+++ b/src/runtime/request_gate.h
@@ -22,7 +22,7 @@
 class RequestGate {
  public:
   struct Options {
-    std::int64_t max_open = 0;  ///< requests beyond it are refused as not run
+    std::int64_t max_open_requests = 0;  ///< requests beyond it are refused as not run
     std::chrono::milliseconds preview_deadline{0};
   };
 
@@ -43,7 +43,7 @@
   using Convert = std::function<HttpResponse(Response)>;
 
   /// A request that the core has not answered yet.
-  struct Open {
+  struct OpenRequest {
     HttpResponder responder;
     Convert convert;
     std::optional<Time> preview_begin;  ///< arrival of a preview
@@ -51,7 +51,7 @@
 
   void HandleEvents(const HttpRequest& http, const HttpResponder& responder);
   void Submit(Request request, const HttpResponder& responder, Convert convert);
-  void Begin(RequestId id, const Request& request, Open open);
+  void Begin(RequestId id, const Request& request, OpenRequest open);
   void OnGone(RequestId id);
 
   const ProcessClock& m_clock;
@@ -62,7 +62,7 @@
   CoreDriver* m_core = nullptr;
   std::atomic<RequestId> m_last_id = 0;
   std::atomic<std::int64_t> m_open_count = 0;
-  std::map<RequestId, Open> m_open;  ///< used by the control thread only
+  std::map<RequestId, OpenRequest> m_open_requests;  ///< used by the control thread only
 };
 
 }  // namespace jaymast
--- a/src/runtime/toml_reader.cc
+++ b/src/runtime/toml_reader.cc
@@ -38,7 +38,7 @@
 
 constexpr std::size_t kMaxFileBytes = 4U << 20U;
 
-std::string Place(const std::string& file, const toml::source_position& position) {
+std::string Location(const std::string& file, const toml::source_position& position) {
   return fmt::format("{}:{}", file, position.line);
 }
 
@@ -86,7 +86,7 @@
   try {
     file->root = toml::parse(text, name);
   } catch (const toml::parse_error& error) {
-    return Error{ErrorId::kInputSyntax, Place(name, error.source().begin), std::string(error.description())};
+    return Error{ErrorId::kInputSyntax, Location(name, error.source().begin), std::string(error.description())};
   }
   Node root{&file->root, "", {1, 1}};
   return TomlReader(std::move(file), std::move(root));
@@ -97,7 +97,7 @@
   const toml::node* node = m_node->table == nullptr ? nullptr : m_node->table->get(key);
   const toml::source_position position = node == nullptr ? m_node->position : node->source().begin;
   m_file->error =
-      Error{ErrorId::kInputField, Place(m_file->name, position) + ": " + m_node->KeyPath(key), std::move(reason)};
+      Error{ErrorId::kInputField, Location(m_file->name, position) + ": " + m_node->KeyPath(key), std::move(reason)};
 }
 
 std::string TomlReader::String(std::string_view key, std::string_view fallback) {
@@ -197,7 +197,7 @@
   const auto unread = FindUnread(m_file->root, "", m_file->read);
   if (!unread) return std::nullopt;
   m_file->error =
-      Error{ErrorId::kInputField, Place(m_file->name, unread->second) + ": " + unread->first, "unknown key"};
+      Error{ErrorId::kInputField, Location(m_file->name, unread->second) + ": " + unread->first, "unknown key"};
   return m_file->error;
 }
 
