--- a/src/runtime/control_loop.cc
+++ b/src/runtime/control_loop.cc
@@ -16,7 +16,7 @@
   const std::lock_guard lock(m_mutex);
   if (m_is_stopping) return;
   m_tasks.push_back(std::move(task));
-  // The thread takes all tasks at once, so it only needs to be woken by the first one.
+  // The thread takes all queued tasks at once, so only the first one has to wake it.
   if (m_tasks.size() == 1) m_wake.notify_one();
 }
 
@@ -59,7 +59,7 @@
 
 void ControlLoop::RunBatch(const std::vector<Task>& tasks) {
   for (const Task& task : tasks) task();
-  // Asked again, because the tasks may have added a timer that is due already.
+  // The tasks may have set a timer that is already due.
   const std::optional<Time> deadline = m_hooks.next_deadline();
   if (deadline && *deadline <= m_clock.Now()) m_hooks.on_tick();
 }
--- a/src/runtime/control_loop.h
+++ b/src/runtime/control_loop.h
@@ -15,20 +15,20 @@
 
 namespace jaymast {
 
-/// The control thread: runs posted tasks one by one, and a function when its deadline passes.
+/// Runs posted tasks one by one on the control thread, and a hook when the next deadline passes.
 class ControlLoop {
  public:
   using Task = std::function<void()>;
 
-  /// Called on the control thread.
+  /// Functions that are called on the control thread.
   struct Hooks {
-    Task on_tick;                                        ///< runs when the next deadline has passed
-    std::function<std::optional<Time>()> next_deadline;  ///< asked after each batch of tasks
+    Task on_tick;                                        ///< called when the next deadline has passed
+    std::function<std::optional<Time>()> next_deadline;  ///< called after each batch of tasks
   };
 
   ControlLoop(const ProcessClock& clock, Hooks hooks);
 
-  /// Stops the thread if it still runs.
+  /// Stops the thread if it is still running.
   ~ControlLoop();
   ControlLoop(const ControlLoop&) = delete;
   ControlLoop& operator=(const ControlLoop&) = delete;
@@ -43,7 +43,7 @@
 
   std::size_t queued() const;
 
-  /// Time that the thread has spent in tasks and ticks.
+  /// Total time that the thread has spent in tasks and hooks.
   Duration busy_time() const { return Duration(m_busy_micros.load(std::memory_order_relaxed)); }
 
  private:
--- a/src/runtime/core_driver.h
+++ b/src/runtime/core_driver.h
@@ -10,7 +10,7 @@
 
 namespace jaymast {
 
-/// The decision core as the process drives it. All calls come from the control thread.
+/// Interface through which the process calls the decision core. All calls are made on the control thread.
 class CoreDriver {
  public:
   virtual ~CoreDriver() = default;
--- a/src/runtime/entry_core_driver.h
+++ b/src/runtime/entry_core_driver.h
@@ -7,7 +7,7 @@
 
 namespace jaymast {
 
-/// Drives the decision core of an entry.
+/// Forwards the calls of the process to the decision core of an entry.
 class EntryCoreDriver final : public CoreDriver {
  public:
   EntryCoreDriver(EntrySettings settings, Effects& effects) : m_core(std::move(settings), effects) {}
--- a/src/runtime/entry_process.cc
+++ b/src/runtime/entry_process.cc
@@ -23,10 +23,10 @@
 namespace jaymast {
 namespace {
 
-/// Peer messages beyond it are dropped, like frames that the network loses.
+/// Tasks in the control queue above which peer messages are dropped, as if lost by the network.
 constexpr std::size_t kMaxControlQueue = 100'000;
 
-/// Id of the links until the core has chosen one. No peer knows it.
+/// Id announced to peers until the core has chosen its own. No entry has this id.
 constexpr const char* kNoEntryId = "starting";
 
 HttpResponse TextResponse(int status, std::string text) {
@@ -42,7 +42,7 @@
 
 }  // namespace
 
-/// The members are destroyed in reverse order, after the threads have stopped.
+/// Components of the process. They are destroyed in reverse order, after the threads have stopped.
 struct EntryProcess::Parts {
   Parts(const Settings& settings, ControlLoop::Hooks hooks)
       : pool(settings.traffic_threads),
--- a/src/runtime/entry_process.h
+++ b/src/runtime/entry_process.h
@@ -16,16 +16,16 @@
 class CoreDriver;
 class Effects;
 
-/// All parts of an entry process: the control thread with the decision core, and the traffic threads.
+/// Runs an entry process: the control thread with the decision core, and the traffic threads with the network I/O.
 class EntryProcess {
  public:
   using CoreFactory = std::function<std::unique_ptr<CoreDriver>(const EntrySettings&, Effects&)>;
 
   /// Opens the ports and starts the threads.
-  /// @return the process, or an error with the address or file that cannot be used
+  /// @return the process, or an error that names the address or file that cannot be used
   static Result<std::unique_ptr<EntryProcess>> Start(Settings settings, const CoreFactory& make_core);
 
-  /// Stops all threads. Without a graceful stop before, requests in flight are cut.
+  /// Stops all threads. Requests in flight are aborted unless a graceful stop has finished.
   ~EntryProcess();
   EntryProcess(const EntryProcess&) = delete;
   EntryProcess& operator=(const EntryProcess&) = delete;
@@ -33,14 +33,14 @@
   std::string http_address() const;
   std::string peer_address() const;
 
-  /// Begins the graceful stop.
+  /// Starts the graceful stop. Does not block.
   void RequestStop();
 
-  /// Waits until the core has stopped and the requests in flight are answered.
+  /// Waits until the core has stopped and the responses to the requests in flight are sent.
   /// @return false if that took longer than the timeout
   bool WaitUntilStopped(std::chrono::milliseconds timeout);
 
-  /// Reads the TLS files again, for new connections.
+  /// Reloads the TLS files, for new connections.
   void ReloadTls();
 
  private:
--- a/src/runtime/entry_process_test.cc
+++ b/src/runtime/entry_process_test.cc
@@ -21,10 +21,10 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds kTimeout{20'000};
-/// Nothing listens on this port of the loopback network.
+/// No process listens on this loopback port.
 constexpr const char* kClosedPortAddress = "127.0.0.1:1";
 
-/// Core that passes each preview to the runner at the address in its body and answers with the status of the call.
+/// Core that forwards each preview to the runner at the address in its body and responds with the status of the call.
 class RelayCore : public CoreDriver {
  public:
   explicit RelayCore(Effects& effects) : m_effects(effects) {}
@@ -67,7 +67,7 @@
   }
 
   void Send(RequestId id, int status, std::string body = "") {
-    // Callbacks run on the control thread and not inside the call that registered them.
+    // Callbacks must run on the control thread, and not inside the call that registered them.
     const bool is_allowed = std::this_thread::get_id() == m_thread && !m_is_calling;
     Event event;
     event.kind = EventKind::kReplySent;
@@ -137,21 +137,21 @@
   BlockingHttpClient m_client;
 };
 
-TEST_F(EntryProcessTest, PreviewReachesTheRunnerAndComesBack) {
+TEST_F(EntryProcessTest, PreviewReturnsTheOutputOfTheRunner) {
   const std::string runner = StartRunner([](const HttpRequest&, const HttpResponder& responder) {
     responder.Respond(HttpResponse{200, {}, OkReply("drawing")});
   });
   EXPECT_EQ(Preview(runner), "ok drawing");
 }
 
-// Guards G7: "not sent" is only reported when the runner cannot have seen the request.
+// Guards G7: a call is reported as "not sent" only if the runner cannot have received the request.
 TEST_F(EntryProcessTest, CallsEndByTheirDeadlineAsNotSentOrUnknown) {
   const std::string unresponsive_runner = StartRunner([](const HttpRequest&, const HttpResponder&) {});
   EXPECT_EQ(Preview(kClosedPortAddress), "not_sent ");
   EXPECT_EQ(Preview(unresponsive_runner, "100"), "unknown ");
 }
 
-TEST_F(EntryProcessTest, MalformedOrFailedAnswersOfARunnerAreUnknown) {
+TEST_F(EntryProcessTest, OutcomeIsUnknownAfterAMalformedOrFailedRunnerResponse) {
   int status = 200;
   const std::string runner = StartRunner([&status](const HttpRequest&, const HttpResponder& responder) {
     responder.Respond(HttpResponse{status, {}, "not json"});
@@ -195,15 +195,15 @@
   }
 }
 
-TEST_F(EntryProcessTest, CoreLearnsThatTheCallerIsGone) {
-  // The core leaves a task status request open.
+TEST_F(EntryProcessTest, CoreIsNotifiedWhenTheClientDisconnects) {
+  // RelayCore never responds to a task status request.
   const HttpRequest request{"GET", "/v1/tasks/t1?wait_ms=1000", {}, ""};
   m_client.Call(m_process->http_address(), request, milliseconds(50));
   EXPECT_EQ(m_core->gone.get_future().wait_for(kTimeout), std::future_status::ready);
 }
 
-// Guards G10: the request in flight is answered before the process stops.
-TEST_F(EntryProcessTest, GracefulStopAnswersTheRequestInFlight) {
+// Guards G10: the response to a request in flight is sent before the process stops.
+TEST_F(EntryProcessTest, GracefulStopCompletesTheRequestInFlight) {
   std::promise<HttpResponder> received;
   const std::string runner =
       StartRunner([&received](const HttpRequest&, const HttpResponder& responder) { received.set_value(responder); });
@@ -216,7 +216,7 @@
   EXPECT_TRUE(stopped.get());
 }
 
-TEST_F(EntryProcessTest, PortInUseIsAnErrorWithTheAddress) {
+TEST_F(EntryProcessTest, PortInUseIsReportedWithTheAddress) {
   Settings settings;
   settings.http.address = m_process->http_address();
   settings.platform.table = kClosedPortAddress;
--- a/src/runtime/event_codec.cc
+++ b/src/runtime/event_codec.cc
@@ -41,7 +41,7 @@
 
 std::string EncodeEvent(const Event& event) {
   json::object object = {{"t_us", ToMicros(event.time)}, {"process", event.process}, {"event", ToString(event.kind)}};
-  // Request ids count up from 1 in each process, so they fit into a signed number.
+  // Request ids are counted from 1 in each process, so they fit into a signed integer.
   Put(object, "request", static_cast<std::int64_t>(event.request));
   Put(object, "task", event.task);
   Put(object, "attempt", event.attempt);
--- a/src/runtime/event_codec.h
+++ b/src/runtime/event_codec.h
@@ -8,11 +8,12 @@
 
 namespace jaymast {
 
-/// One line of an event log: a JSON object without a line end. Fields without a value are left out.
+/// Encodes an event as one line of an event log: a JSON object without a line break. Optional fields that are empty or
+/// zero are omitted.
 std::string EncodeEvent(const Event& event);
 
 /// Decodes a line of an event log.
-/// @return the event, or an error with the path of the offending field
+/// @return the event, or an error with the path of the invalid field
 Result<Event> DecodeEvent(std::string_view line);
 
 }  // namespace jaymast
--- a/src/runtime/event_codec_test.cc
+++ b/src/runtime/event_codec_test.cc
@@ -9,11 +9,11 @@
 namespace jaymast {
 namespace {
 
-/// Printable texts, because a JSON text is UTF-8 and ids of the program are printable.
+/// Printable ASCII, because JSON requires UTF-8 and the ids of jaymast are printable.
 std::string Text() { return *rc::gen::container<std::string>(rc::gen::inRange<char>(' ', '~')); }
 std::int64_t Number() { return *rc::gen::arbitrary<std::int64_t>(); }
 
-// Guards against a field that one side forgets or names differently.
+// Guards against a field that the encoder or the decoder omits or names differently.
 RC_GTEST_PROP(EventCodecTest, EachFieldSurvivesARoundTrip, ()) {
   Event event;
   event.kind = static_cast<EventKind>(*rc::gen::inRange<std::size_t>(0, EnumNames<EventKind>::kNames.size()));
@@ -52,7 +52,7 @@
   RC_ASSERT(read->detail == event.detail);
 }
 
-TEST(EventCodecTest, NamesTheOffendingField) {
+TEST(EventCodecTest, ErrorsNameTheInvalidField) {
   EXPECT_EQ(DecodeEvent(R"({"t_us":1,"process":"p","event":"no_such"})").error().path, "event/event");
   EXPECT_EQ(DecodeEvent(R"({"t_us":1,"process":"p","event":"fault","extra":1})").error().path, "event/extra");
   EXPECT_EQ(DecodeEvent("not json").error().id, ErrorId::kInputSyntax);
--- a/src/runtime/event_log.cc
+++ b/src/runtime/event_log.cc
@@ -27,7 +27,7 @@
   const std::lock_guard lock(m_mutex);
   ++m_next;
   if (m_sink && m_queue.size() >= m_max_queue) {
-    if (m_dropped++ == 0) LOG(WARNING) << "jaymast.events.dropped: the event output is too slow, events are dropped";
+    if (m_dropped++ == 0) LOG(WARNING) << "jaymast.events.dropped: event output is too slow; dropping events";
   } else if (m_sink) {
     m_queue.push_back(event);
     if (m_queue.size() == 1) m_wake.notify_one();
@@ -69,7 +69,7 @@
   std::string lines;
   for (const Event& event : events) lines += EncodeEvent(event) + '\n';
   if (m_sink->Write(lines)) return;
-  LOG_EVERY_N(WARNING, 100) << "jaymast.events.output: cannot write to the event output";
+  LOG_EVERY_N(WARNING, 100) << "jaymast.events.output: cannot write to event output; dropping events";
   m_dropped += events.size();
 }
 
--- a/src/runtime/event_log.h
+++ b/src/runtime/event_log.h
@@ -18,34 +18,35 @@
 
 namespace jaymast {
 
-/// Event log of the process: the last events in memory, and all events in a sink.
+/// Keeps the latest events of the process in memory and writes all events to a sink.
 ///
-/// A thread of its own encodes and writes the events for the sink, so that the control thread does neither.
+/// A dedicated thread encodes and writes the events for the sink, so that Append() on the control thread does neither.
 class EventLog {
  public:
   explicit EventLog(const EventSettings& settings);
 
-  /// Writes the events that wait, and joins the thread.
+  /// Writes the queued events and joins the thread.
   ~EventLog();
   EventLog(const EventLog&) = delete;
   EventLog& operator=(const EventLog&) = delete;
 
-  /// Appends an event. Its output is dropped when too many events wait to be written.
+  /// Appends an event. It is not written to the sink if the write queue is full.
   void Append(Event event);
 
-  /// Some encoded events, and the number of the event after the last one.
+  /// Consecutive encoded events, and the sequence number of the event after the last one.
   struct Page {
     std::string lines;
     std::uint64_t next = 0;
   };
 
-  /// Events from number `since` on, or the last ones, as far as they are still in memory and fit into a page.
+  /// Reads one page of events from sequence number `since` on, or the latest page without it. Skips events that are no
+  /// longer in memory.
   Page Read(std::optional<std::uint64_t> since) const;
 
   std::size_t queued() const;
   std::uint64_t dropped() const { return m_dropped; }
 
-  /// Most events in a page. Pages are made on the control thread, so they must not take long.
+  /// Maximum events in a page. Pages are encoded on the control thread, which must not be blocked for long.
   static constexpr std::size_t kMaxPageEvents = 1000;
 
  private:
@@ -58,7 +59,7 @@
   mutable std::mutex m_mutex;  ///< guards the members up to m_is_stopping
   std::condition_variable m_wake;
   std::deque<Event> m_ring;
-  std::uint64_t m_next = 0;  ///< number of the next event
+  std::uint64_t m_next = 0;  ///< sequence number of the next event
   std::vector<Event> m_queue;
   bool m_is_stopping = false;
   std::atomic<std::uint64_t> m_dropped = 0;
--- a/src/runtime/event_log_test.cc
+++ b/src/runtime/event_log_test.cc
@@ -20,7 +20,7 @@
   return event;
 }
 
-TEST(EventLogTest, KeepsTheLastLinesAndWritesAllOfThem) {
+TEST(EventLogTest, KeepsTheLatestEventsInMemoryAndWritesAllEvents) {
   std::array<int, 2> pipe{};
   ASSERT_EQ(::pipe(pipe.data()), 0);
   EventSettings settings;
@@ -44,8 +44,8 @@
   ::close(pipe[0]);
 }
 
-// Guards against a long read that stops the control thread, and against events lost between two pages.
-TEST(EventLogTest, PagesFollowEachOther) {
+// Guards against a read that blocks the control thread for long, and against events skipped between two pages.
+TEST(EventLogTest, PagesAreBoundedAndContiguous) {
   EventSettings settings;
   settings.output = EventOutput::kNone;
   EventLog log(settings);
@@ -65,7 +65,7 @@
   EXPECT_EQ(std::count(tail.begin(), tail.end(), '\n'), static_cast<std::int64_t>(EventLog::kMaxPageEvents));
 }
 
-// Guards against an event output that nobody reads growing the memory of the process or blocking the control thread.
+// Guards against unbounded memory use or a blocked control thread when nobody reads the event output.
 TEST(EventLogTest, SlowOutputDropsEventsInsteadOfBlocking) {
   std::array<int, 2> pipe{};
   ASSERT_EQ(::pipe(pipe.data()), 0);
--- a/src/runtime/event_sink.cc
+++ b/src/runtime/event_sink.cc
@@ -36,7 +36,7 @@
   int m_descriptor;
 };
 
-/// Connects again after an error. A batch that was cut by an error is lost.
+/// Writes to a TCP connection. Reconnects on the write after an error; the batch that failed is lost.
 class TcpSink : public EventSink {
  public:
   explicit TcpSink(const std::string& address) : m_endpoint(*ParseEndpoint(address)) {}
--- a/src/runtime/event_sink.h
+++ b/src/runtime/event_sink.h
@@ -7,16 +7,16 @@
 
 namespace jaymast {
 
-/// Where the lines of the event log are written.
+/// Destination to which the lines of the event log are written.
 class EventSink {
  public:
   virtual ~EventSink() = default;
 
-  /// Writes lines with their line ends. Blocks until they are written.
-  /// @return false when they could not be written
+  /// Writes lines that include their line breaks. Blocks until they are written.
+  /// @return false if they could not be written
   virtual bool Write(std::string_view lines) = 0;
 
-  /// Sink for the settings, or empty when no output is wanted.
+  /// Creates the sink that the settings name, or null for output "none".
   static std::unique_ptr<EventSink> Make(const EventSettings& settings);
 };
 
--- a/src/runtime/http_routes.cc
+++ b/src/runtime/http_routes.cc
@@ -42,7 +42,7 @@
   return Error{ErrorId::kInputField, std::move(path), std::move(reason)};
 }
 
-/// Parts of an HTTP request that the routes share.
+/// HTTP request with the values that all routes use.
 struct RequestContext {
   const HttpRequest& http;
   std::string secret;
@@ -64,14 +64,15 @@
   return context.deadline ? std::min(*context.deadline, wait_until) : wait_until;
 }
 
-/// Applies the header Idempotency-Key to the tasks of a request. Several tasks get one key each.
+/// Sets the header Idempotency-Key on the tasks without a key of their own. If there are several tasks, each key gets
+/// the index of its task as a suffix.
 std::optional<Error> ApplyIdempotencyKey(const HttpRequest& http, std::vector<TaskSpec>& specs) {
   const std::string key(FindHeader(http.headers, "Idempotency-Key"));
   if (key.empty()) return std::nullopt;
   if (key.size() > kMaxIdempotencyKeyBytes) {
     return FieldError("Idempotency-Key", fmt::format("longer than {} bytes", kMaxIdempotencyKeyBytes));
   }
-  // The key becomes part of the journal, which is JSON.
+  // The key is stored in the journal, which is JSON.
   if (!IsUtf8(key)) return FieldError("Idempotency-Key", "expected UTF-8");
   for (std::size_t i = 0; i < specs.size(); ++i) {
     std::string& own = specs[i].idempotency_key;
@@ -88,7 +89,7 @@
   const Result<json::object> body = ParseObject(context.http.body, "body");
   if (!body) return body.error();
   json::object task = *body;
-  // A preview is a class of its own, so the field may be left out.
+  // The route implies the class, so the field is optional.
   task.emplace("class", ToString(WorkClass::kPreview));
   Result<TaskSpec> spec = TaskSpecFromJson(task, "body");
   if (!spec) return spec.error();
@@ -180,7 +181,7 @@
   return Request(ConfirmRequest{context.secret, PlanId(plan), version});
 }
 
-/// Request for a view, or nothing when the path names none.
+/// Request for a view, or nothing if the path does not name a view.
 std::optional<Request> ReadView(const RequestContext& context, const Segments& path) {
   const std::optional<View> view = FromString<View>(path.at(1));
   if (!view) return std::nullopt;
@@ -253,7 +254,7 @@
 }
 
 HttpResponse ResponseToHttp(Response response) {
-  // A conflict brings the new plan in its body.
+  // The response to a plan conflict has the new plan as its body instead of a problem document.
   const bool has_body = !response.body.empty() && !response.raw;
   if (response.error && !has_body) return ProblemResponse(response.status, *response.error, response.verdict);
   HttpResponse http;
--- a/src/runtime/http_routes.h
+++ b/src/runtime/http_routes.h
@@ -9,10 +9,10 @@
 
 namespace jaymast {
 
-/// Maps the HTTP request of a caller or operator to a request of the decision core.
+/// Converts the HTTP request of a client or operator to a request of the decision core.
 /// @param now time of arrival, to which the deadlines in the request are relative
 /// @param preview_deadline time limit of a preview without the header Jaymast-Deadline-Ms
-/// @return the request, or an error that is answered with HttpStatusOf(error)
+/// @return the request, or an error for a response with the status HttpStatusOf(error)
 Result<Request> RequestFromHttp(const HttpRequest& http, Time now, std::chrono::milliseconds preview_deadline);
 
 /// HTTP status of an error of RequestFromHttp.
@@ -20,11 +20,11 @@
 
 HttpResponse ResponseToHttp(Response response);
 
-/// Secret of the header Authorization, empty when there is none.
+/// Bearer token of the header Authorization, empty if there is none.
 std::string BearerSecret(const HttpRequest& http);
 
-/// Whole number in the query of a target.
-/// @return the number, the fallback when the query has no such name, or an error
+/// Reads a non-negative integer parameter from the query of a target.
+/// @return the number, the fallback if the parameter is absent, or an error if it is not an integer from 0 to max
 Result<std::int64_t> QueryInt(std::string_view target, std::string_view name, std::int64_t fallback, std::int64_t max);
 
 }  // namespace jaymast
--- a/src/runtime/http_routes_test.cc
+++ b/src/runtime/http_routes_test.cc
@@ -31,7 +31,7 @@
 
 std::string PathOf(const Result<Request>& request) { return request ? "no error" : request.error().path; }
 
-TEST(HttpRoutesTest, MapsAPreview) {
+TEST(HttpRoutesTest, ConvertsAPreview) {
   const auto preview = Get<PreviewRequest>(Map("POST", "/v1/previews", R"({"team":"desk","body":"span"})"));
   EXPECT_EQ(preview.secret, "secret");
   EXPECT_EQ(preview.spec.work_class, WorkClass::kPreview);
@@ -42,7 +42,7 @@
   EXPECT_EQ(urgent.secret, "");
 }
 
-TEST(HttpRoutesTest, MapsSubmissions) {
+TEST(HttpRoutesTest, ConvertsSubmissions) {
   const HttpHeaders headers = {{"Idempotency-Key", "order-7"}};
   const auto one = Get<SubmitRequest>(Map("POST", "/v1/tasks", R"({"team":"desk","wait_ms":20})", headers));
   ASSERT_EQ(one.specs.size(), 1U);
@@ -56,7 +56,7 @@
   EXPECT_EQ(many.wait_until, kNow);
 }
 
-TEST(HttpRoutesTest, MapsTheOtherRoutes) {
+TEST(HttpRoutesTest, ConvertsTheOtherRoutes) {
   const auto status = Get<TaskStatusRequest>(Map("GET", "/v1/tasks/t%2F1?x=1&wait_ms=30"));
   EXPECT_EQ(status.task, TaskId("t/1"));
   EXPECT_EQ(status.wait_until, kNow + std::chrono::milliseconds(30));
@@ -73,7 +73,7 @@
   EXPECT_EQ(Get<ViewRequest>(Map("GET", "/v1/explain/t1")).task, TaskId("t1"));
 }
 
-TEST(HttpRoutesTest, ErrorsNameTheOffendingField) {
+TEST(HttpRoutesTest, ErrorsNameTheInvalidField) {
   EXPECT_EQ(Map("POST", "/v1/tasks", "{").error().id, ErrorId::kInputSyntax);
   EXPECT_EQ(PathOf(Map("POST", "/v1/tasks", R"({"tasks":[{"team":1}]})")), "body/tasks/0/team");
   EXPECT_EQ(PathOf(Map("POST", "/v1/tasks", R"({"tasks":[],"wait_ms":0})")), "body/tasks");
@@ -87,7 +87,7 @@
   EXPECT_EQ(PathOf(Map("GET", "/v1/tasks/t1?wait_ms=x")), "wait_ms");
 }
 
-// Guards against a key that is accepted, but makes the journal record of its task unreadable for the next home entry.
+// Guards against an accepted key that makes the journal record of its task unreadable for the next home entry.
 TEST(HttpRoutesTest, IdempotencyKeysThatCannotBeStoredAreRefused) {
   const auto submit = [](const std::string& key, const std::string& body) {
     return PathOf(Map("POST", "/v1/tasks", body, {{"Idempotency-Key", key}}));
@@ -101,7 +101,7 @@
   EXPECT_EQ(submit("order-\xc3\xa9", two), "no error");
 }
 
-// Guards against a body of a caller that crashes the entry, or a task that is accepted but cannot be stored.
+// Guards against a request body that crashes the entry, and against accepted tasks that cannot be stored.
 TEST(HttpRoutesTest, MutatedRequestsAreRefusedOrStorable) {
   const std::vector<std::pair<std::string, std::string>> samples = {
       {"/v1/tasks", R"({"team":"desk","class":"batch","body":"x","wait_ms":5})"},
@@ -129,7 +129,7 @@
   });
 }
 
-// Guards against a malformed header that is taken for a key.
+// Guards against a malformed header that is accepted as a key.
 TEST(HttpRoutesTest, OnlyWellFormedBearerKeysAreRead) {
   const auto secret = [](const std::string& header) {
     return BearerSecret(HttpRequest{"GET", "/v1/status", {{"Authorization", header}}, ""});
@@ -144,7 +144,7 @@
   });
 }
 
-// Guards against an answer that no JSON parser accepts because it repeats bytes of a malformed target.
+// Guards against a response that is invalid JSON because it quotes bytes of a malformed target.
 TEST(HttpRoutesTest, ProblemsOfMalformedTargetsAreValidJson) {
   CheckWithFixedSeed(1'000, [] {
     const Result<Request> request = Map("POST", MutatedBytes("/v1/plans/%ff/confirm"), "[");
--- a/src/runtime/http_runner.cc
+++ b/src/runtime/http_runner.cc
@@ -31,7 +31,7 @@
   if (result.status == SendStatus::kUnknown) return FailedReply(CallStatus::kUnknown, result.reason);
   const HttpResponse& response = result.response;
   if (response.status != kStatusOk && response.status != kStatusConflict) {
-    // A refusal by the HTTP server of the runner says whether the request can have reached the runner.
+    // The verdict of an error response says whether the HTTP server may have passed the request to the runner.
     const bool is_not_run = FindHeader(response.headers, "Jaymast-Verdict") == ToString(Verdict::kNotRun);
     const std::string reason = fmt::format("HTTP status {}", response.status);
     return FailedReply(is_not_run ? CallStatus::kNotSent : CallStatus::kUnknown, reason);
--- a/src/runtime/http_runner.h
+++ b/src/runtime/http_runner.h
@@ -5,10 +5,11 @@
 
 namespace jaymast {
 
-/// HTTP request for a request to a runner.
+/// Encodes a request to a runner as an HTTP request.
 HttpRequest RunnerHttpRequest(const UpstreamRequest& request);
 
-/// What a result of the HTTP client says about a request to a runner.
+/// Converts a result of the HTTP client to the reply of a runner. The status is kNotSent only if the runner cannot have
+/// executed the request.
 UpstreamReply UpstreamReplyOf(const HttpResult& result);
 
 }  // namespace jaymast
--- a/src/runtime/http_table.cc
+++ b/src/runtime/http_table.cc
@@ -50,7 +50,7 @@
   if (result.status == SendStatus::kNotSent) return {CommitStatus::kNotSent, 0};
   if (result.status == SendStatus::kUnknown) return {CommitStatus::kUnknown, 0};
   const int status = result.response.status;
-  // The service refused the call (busy, malformed) and did not execute it.
+  // The table service rejected the call (busy, malformed) without executing it.
   if (status >= kFirstClientError && status < kFirstServerError) return {CommitStatus::kNotSent, 0};
   if (status != kStatusOk) return {CommitStatus::kUnknown, 0};
   const Result<CommitReply> reply = DecodeCommitReply(result.response.body);
--- a/src/runtime/http_table.h
+++ b/src/runtime/http_table.h
@@ -11,7 +11,7 @@
 
 class Metrics;
 
-/// Client of the table service over HTTP. The callbacks are called on a traffic thread, by the timeout at the latest.
+/// Calls the table service over HTTP. Callbacks run on a traffic thread, after the timeout at the latest.
 class HttpTable {
  public:
   HttpTable(HttpClient& client, Metrics& metrics, std::string address, std::chrono::milliseconds timeout);
@@ -29,7 +29,7 @@
   const std::chrono::milliseconds m_timeout;
 };
 
-/// What a result of the HTTP client says about a transaction.
+/// Converts a result of the HTTP client to the outcome of a transaction.
 CommitReply CommitReplyOf(const HttpResult& result);
 
 ReadReply ReadReplyOf(const HttpResult& result);
--- a/src/runtime/instance_poller.h
+++ b/src/runtime/instance_poller.h
@@ -12,16 +12,16 @@
 class HttpClient;
 class IoPool;
 
-/// Reads the instance list of the platform at a fixed interval.
+/// Polls the instance list of the platform, with a fixed interval between calls.
 class InstancePoller {
  public:
-  /// Called on a traffic thread with each list that was read.
+  /// Called on a traffic thread with each valid list.
   using Receiver = std::function<void(InstanceList)>;
 
   InstancePoller(IoPool& pool, HttpClient& client, std::string address, std::chrono::milliseconds timeout,
                  std::chrono::milliseconds interval, Receiver receiver);
 
-  /// Stops to poll. Must not be called from a thread of the pool.
+  /// Stops polling. Must not be called on a thread of the pool.
   ~InstancePoller();
   InstancePoller(const InstancePoller&) = delete;
   InstancePoller& operator=(const InstancePoller&) = delete;
--- a/src/runtime/metrics.cc
+++ b/src/runtime/metrics.cc
@@ -17,7 +17,7 @@
 constexpr double kMinSeconds = 10e-6;
 constexpr double kMaxSeconds = 10.0;
 
-/// Histogram with logarithmic buckets, whose cells are atomic counters.
+/// Histogram with logarithmic buckets and atomic counters, for concurrent updates.
 auto MakeHistogram() {
   using Axis = bh::axis::regular<double, bh::axis::transform::log>;
   using Count = bh::accumulators::count<std::uint64_t, true>;
--- a/src/runtime/metrics.h
+++ b/src/runtime/metrics.h
@@ -14,10 +14,10 @@
 
 namespace jaymast {
 
-/// Times that are counted in histograms.
+/// Latencies that are recorded in histograms.
 enum class Timing {
   kPreview,       ///< from the arrival of a preview to its response
-  kDecision,      ///< work of the control thread on one request of a caller or operator
+  kDecision,      ///< work of the control thread on one request of a client or operator
   kTableCall,     ///< from a call of the table service to its result
   kUpstreamCall,  ///< from a call of a runner to its result
 };
@@ -27,7 +27,7 @@
   static constexpr std::array<std::string_view, 4> kNames = {"preview", "decision", "table_call", "upstream_call"};
 };
 
-/// Metrics of the process. All functions may be called from any thread.
+/// Collects and renders the metrics of the process. All functions may be called on any thread.
 class Metrics {
  public:
   Metrics();
@@ -36,13 +36,13 @@
   void Observe(Timing timing, std::chrono::microseconds time);
   void CountResponse(Verdict verdict);
 
-  /// Values that are read when the metrics are rendered, by name.
+  /// Current values of gauges and counters that are kept elsewhere, by metric name.
   struct Samples {
     std::map<std::string, double> gauges;
     std::map<std::string, double> counters;
   };
 
-  /// All metrics in the text format of Prometheus.
+  /// Renders all metrics in the Prometheus text format.
   std::string Render(const Samples& samples) const;
 
  private:
--- a/src/runtime/process_clock.h
+++ b/src/runtime/process_clock.h
@@ -7,8 +7,8 @@
 
 namespace jaymast {
 
-/// Clock of the process. It starts at the wall clock, so that event logs of several processes can be merged, and then
-/// follows the steady clock, so that it never goes back.
+/// Monotonic clock that starts at the wall-clock time. The start allows merging the event logs of several processes;
+/// the steady clock keeps it from going backwards.
 class ProcessClock {
  public:
   ProcessClock() : m_offset(WallMicros() - SteadyMicros()) {}
--- a/src/runtime/process_effects.cc
+++ b/src/runtime/process_effects.cc
@@ -15,14 +15,14 @@
 namespace jaymast {
 namespace {
 
-/// Seeds the generator with as many random bits as its seed sequence can use well.
+/// Generator seeded with as many random bits as a seed sequence makes good use of.
 std::mt19937_64 SeededGenerator() {
   std::random_device device;
   std::seed_seq seed{device(), device(), device(), device(), device(), device(), device(), device()};
   return std::mt19937_64(seed);
 }
 
-/// Function that posts the call of a callback to the control thread.
+/// Wraps a callback so that it runs on the control thread.
 template <typename Reply>
 auto PostToControlThread(ControlLoop& control, std::function<void(const Reply&)> done) {
   return [&control, done = std::move(done)](const Reply& reply) { control.Post([done, reply] { done(reply); }); };
--- a/src/runtime/process_effects.h
+++ b/src/runtime/process_effects.h
@@ -17,10 +17,11 @@
 class PeerLinks;
 class ProcessClock;
 
-/// Effects of the real process. All calls come from the control thread; callbacks are posted to it.
+/// Implements the effects of the decision core with the network and clock of the process. All calls are made on the
+/// control thread; callbacks are posted to it.
 class ProcessEffects final : public Effects {
  public:
-  /// Parts of the process that outlive the effects.
+  /// Components that the effects use. They must outlive the effects.
   struct Parts {
     const ProcessClock& clock;
     ControlLoop& control;
@@ -33,7 +34,7 @@
   using ReplyFunction = std::function<void(RequestId, const Response&)>;
 
   /// @param process name of the process in events
-  /// @param reply sends the response to a caller
+  /// @param reply sends the response to a client
   ProcessEffects(Parts parts, std::string process, ReplyFunction reply);
 
   Time Now() const override;
--- a/src/runtime/request_gate.cc
+++ b/src/runtime/request_gate.cc
@@ -46,7 +46,8 @@
   }
   std::optional<std::uint64_t> since;
   if (*number != kAbsent) since = static_cast<std::uint64_t>(*number);
-  // Only the core knows the keys, so it answers a status request first. Its refusal is the refusal of this request.
+  // Only the core can check API keys, so a status request authorizes the caller. If the core refuses it, its error is
+  // the response to this request.
   Submit(ViewRequest{BearerSecret(http), View::kStatus, TaskId()}, responder, [this, since](Response response) {
     if (response.status != kStatusOk) return ResponseToHttp(std::move(response));
     EventLog::Page page = m_events.Read(since);
--- a/src/runtime/request_gate.h
+++ b/src/runtime/request_gate.h
@@ -18,23 +18,23 @@
 class EventLog;
 class Metrics;
 
-/// Passes the requests of callers and operators to the decision core, and its responses back.
+/// Passes requests of clients and operators to the decision core and sends its responses. Limits the open requests.
 class RequestGate {
  public:
   struct Options {
-    std::int64_t max_open_requests = 0;  ///< requests beyond it are refused as not run
+    std::int64_t max_open_requests = 0;  ///< requests above the limit are refused with the verdict "not run"
     std::chrono::milliseconds preview_deadline{0};
   };
 
   RequestGate(const ProcessClock& clock, ControlLoop& control, EventLog& events, Metrics& metrics, Options options);
 
-  /// Names the core. Must be called before the first request is handled.
+  /// Sets the core. Must be called before the first request is handled.
   void SetCore(CoreDriver* core) { m_core = core; }
 
-  /// Takes a request. May be called from any thread.
+  /// Handles a request. May be called on any thread.
   void Handle(const HttpRequest& http, const HttpResponder& responder);
 
-  /// Answers a request. Called on the control thread. Ignored when the caller is gone.
+  /// Sends the response to a request. Called on the control thread. Ignored if the client has disconnected.
   void Reply(RequestId id, const Response& response);
 
   std::int64_t open() const { return m_open_count; }
@@ -42,11 +42,11 @@
  private:
   using Convert = std::function<HttpResponse(Response)>;
 
-  /// A request that the core has not answered yet.
+  /// Request to which the core has not responded yet.
   struct OpenRequest {
     HttpResponder responder;
     Convert convert;
-    std::optional<Time> preview_begin;  ///< arrival of a preview
+    std::optional<Time> preview_begin;  ///< time of arrival, set for previews only
   };
 
   void HandleEvents(const HttpRequest& http, const HttpResponder& responder);
--- a/src/runtime/settings.cc
+++ b/src/runtime/settings.cc
@@ -88,7 +88,7 @@
 }
 
 void ReadUpstream(TomlReader reader, HttpClientOptions& upstream) {
-  // Half of the 64 connections of a runner, so that the next owner can connect while this one still does.
+  // Half of the 64 connections that a runner accepts, so that the next owner can connect while this one is connected.
   constexpr std::size_t kDefaultConnections = 32;
   upstream.max_connections_per_host = kDefaultConnections;
   ReadSize(reader, "max_connections", upstream.max_connections_per_host, kMaxCount);
--- a/src/runtime/settings.h
+++ b/src/runtime/settings.h
@@ -19,7 +19,7 @@
 
 class TomlReader;
 
-/// Where events are written.
+/// Destination of the event log.
 enum class EventOutput { kNone, kStdout, kDescriptor, kTcp };
 
 template <>
@@ -32,10 +32,10 @@
   int descriptor = -1;                ///< for output "fd"
   std::string address;                ///< IP number and port for output "tcp"
   std::size_t ring_lines = 10'000;    ///< lines kept for /v1/events
-  std::size_t queue_lines = 100'000;  ///< lines that wait to be written; more are dropped and counted
+  std::size_t queue_lines = 100'000;  ///< lines queued for writing; more are dropped and counted
 };
 
-/// Addresses of the platform and time limits of its calls.
+/// Addresses of the platform services, and the timeouts and interval of calls to them.
 struct PlatformSettings {
   std::string table;      ///< IP number and port
   std::string instances;  ///< IP number and port
@@ -50,19 +50,19 @@
   HttpServerOptions http;
   TlsFiles http_tls;  ///< no TLS when the certificate is empty
   PeerLinksOptions peer;
-  TlsFiles peer_tls;  ///< certificate of both sides of a link; no TLS when it is empty
+  TlsFiles peer_tls;  ///< used by both sides of a link; no TLS when the certificate is empty
   HttpClientOptions upstream;
   PlatformSettings platform;
   EventSettings events;
   std::size_t traffic_threads = 4;
   std::chrono::milliseconds tls_reload_interval{60'000};
-  std::chrono::milliseconds stop_timeout{30'000};     ///< longest graceful stop
+  std::chrono::milliseconds stop_timeout{30'000};     ///< maximum duration of a graceful stop
   std::chrono::milliseconds preview_deadline{2'000};  ///< of previews without the header Jaymast-Deadline-Ms
-  int log_level = 0;                                  ///< least severity of glog that is logged
+  int log_level = 0;                                  ///< minimum glog severity that is logged
 };
 
 /// Reads the settings of the program jaymast-entry.
-/// @return the settings, or the first error with file, line, key and expected range
+/// @return the settings, or the first error with its file, line and key and the expected range
 Result<Settings> ReadSettings(TomlReader reader);
 
 }  // namespace jaymast
--- a/src/runtime/settings_test.cc
+++ b/src/runtime/settings_test.cc
@@ -21,13 +21,13 @@
 
 Result<Settings> Read(const std::string& text) { return ReadSettings(*TomlReader::ReadText(text, "entry.toml")); }
 
-/// "PATH: REASON" of the error of a text.
+/// Error of a settings text as "PATH: REASON".
 std::string ErrorOf(const std::string& text) {
   const Result<Settings> settings = Read(text);
   return settings ? "no error" : settings.error().path + ": " + settings.error().reason;
 }
 
-TEST(SettingsTest, MinimalFileTakesTheDefaults) {
+TEST(SettingsTest, MinimalFileUsesTheDefaults) {
   const Result<Settings> settings = Read(kMinimal);
   ASSERT_TRUE(settings) << settings.error().path << settings.error().reason;
   EXPECT_EQ(settings->core.name, "e1");
@@ -37,7 +37,7 @@
   EXPECT_EQ(settings->events.output, EventOutput::kStdout);
 }
 
-TEST(SettingsTest, ReadsEachGroup) {
+TEST(SettingsTest, ReadsEachTable) {
   const std::string key(64, 'a');
   const Result<Settings> settings = Read(std::string(kMinimal) + R"(
 [core]
@@ -84,8 +84,8 @@
             "entry.toml:11: core.renew_interval_ms: expected less than lease_duration_ms");
 }
 
-// Guards against a settings file that crashes the program, or an error without file, line and key.
-TEST(SettingsTest, MutatedFilesAreRefusedWithTheirPlace) {
+// Guards against a malformed settings file that crashes the program, and against errors without file, line and key.
+TEST(SettingsTest, ErrorsInMutatedFilesNameTheirLocation) {
   CheckWithFixedSeed(2'000, [] {
     const std::string text = MutatedBytes(kMinimal);
     Result<TomlReader> reader = TomlReader::ReadText(text, "entry.toml");
--- a/src/runtime/toml_reader.cc
+++ b/src/runtime/toml_reader.cc
@@ -42,7 +42,7 @@
   return fmt::format("{}:{}", file, position.line);
 }
 
-/// First key of a table that is not in the set of read nodes, at any depth.
+/// Finds the first key, at any depth, whose node is not in the set of read nodes.
 std::optional<std::pair<std::string, toml::source_position>> FindUnread(const toml::table& table,
                                                                         const std::string& path,
                                                                         const std::set<const toml::node*>& read) {
--- a/src/runtime/toml_reader.h
+++ b/src/runtime/toml_reader.h
@@ -15,22 +15,22 @@
 
 namespace jaymast {
 
-/// Reads typed values of a TOML file and keeps the first error.
+/// Reads typed values from a TOML file and keeps the first error.
 ///
 /// The path of an error is "FILE:LINE: KEY", and its reason names the expected type and range. A missing key yields the
 /// default. Finish() reports keys that were not read.
 class TomlReader {
  public:
-  /// Reads a file.
+  /// @return a reader of the root table, or an error if the file cannot be read or parsed, or exceeds 4 MiB
   static Result<TomlReader> ReadFile(const std::string& file);
 
-  /// Reads a text.
-  /// @param name name of the text in errors
+  /// @param name file name that errors report
+  /// @return a reader of the root table, or the syntax error with its line
   static Result<TomlReader> ReadText(std::string_view text, const std::string& name);
 
   std::string String(std::string_view key, std::string_view fallback);
 
-  /// An absent or empty value is an error.
+  /// Like String(), but an absent or empty value is an error.
   std::string RequiredString(std::string_view key);
 
   std::int64_t Int(std::string_view key, std::int64_t fallback, std::int64_t min, std::int64_t max);
@@ -38,7 +38,7 @@
   bool Bool(std::string_view key, bool fallback);
   std::vector<std::string> Strings(std::string_view key);
 
-  /// A whole number of milliseconds.
+  /// Duration in whole milliseconds.
   std::chrono::milliseconds Millis(std::string_view key, std::chrono::milliseconds fallback,
                                    std::chrono::milliseconds min, std::chrono::milliseconds max);
 
@@ -53,19 +53,19 @@
     return fallback;
   }
 
-  /// Reader of the table with a key. An absent table is read as an empty one.
+  /// Reader of a subtable. An absent table is read as an empty one.
   TomlReader Table(std::string_view key);
 
-  /// Readers of an array of tables.
+  /// Readers of the elements of an array of tables.
   std::vector<TomlReader> Tables(std::string_view key);
 
-  /// Names and readers of all tables in the table with a key, for tables with free names.
+  /// Names and readers of all subtables of a table, for names that the file chooses.
   std::vector<std::pair<std::string, TomlReader>> NamedTables(std::string_view key);
 
-  /// Records an error at a key unless there is one already.
+  /// Records an error at a key, unless an earlier error is already recorded.
   void Fail(std::string_view key, std::string reason);
 
-  /// Checks the whole file for keys that no reader has read.
+  /// Checks the whole file for unknown keys, that is, keys that no reader has read.
   /// @return the first error of all readers of the file
   std::optional<Error> Finish();
 
--- a/src/runtime/wall_clock.h
+++ b/src/runtime/wall_clock.h
@@ -7,12 +7,12 @@
 
 namespace jaymast {
 
-/// Time of day since 1970. It may jump.
+/// Time since 1970-01-01 UTC (the Unix epoch). Not monotonic.
 inline Duration WallMicros() {
   return std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch());
 }
 
-/// Time of day since 1970 in whole milliseconds.
+/// Time since 1970-01-01 UTC in whole milliseconds.
 inline std::int64_t WallMillis() { return ToMillis(WallMicros()); }
 
 }  // namespace jaymast
