--- a/src/runtime/event_log.cc
+++ b/src/runtime/event_log.cc
@@ -27,7 +27,7 @@
   const std::lock_guard lock(m_mutex);
   ++m_next;
   if (m_sink && m_queue.size() >= m_max_queue) {
-    if (m_dropped++ == 0) LOG(WARNING) << "jaymast.events.dropped: the event output is too slow, events are dropped";
+    if (m_dropped++ == 0) LOG(WARNING) << "jaymast.events.dropped: event output is too slow; dropping events";
   } else if (m_sink) {
     m_queue.push_back(event);
     if (m_queue.size() == 1) m_wake.notify_one();
@@ -39,9 +39,9 @@
 EventLog::Page EventLog::Read(std::optional<std::uint64_t> since) const {
   const std::lock_guard lock(m_mutex);
   const std::uint64_t first = m_next - m_ring.size();
-  const std::uint64_t last_page = m_next - std::min(m_ring.size(), kMaxPage);
+  const std::uint64_t last_page = m_next - std::min(m_ring.size(), kMaxPageEvents);
   const std::uint64_t begin = std::clamp(since.value_or(last_page), first, m_next);
-  const std::uint64_t end = std::min<std::uint64_t>(begin + kMaxPage, m_next);
+  const std::uint64_t end = std::min<std::uint64_t>(begin + kMaxPageEvents, m_next);
   Page page;
   page.next = end;
   for (std::uint64_t number = begin; number < end; ++number) page.lines += EncodeEvent(m_ring[number - first]) + '\n';
@@ -69,7 +69,7 @@
   std::string lines;
   for (const Event& event : events) lines += EncodeEvent(event) + '\n';
   if (m_sink->Write(lines)) return;
-  LOG_EVERY_N(WARNING, 100) << "jaymast.events.output: cannot write to the event output";
+  LOG_EVERY_N(WARNING, 100) << "jaymast.events.output: cannot write to event output; dropping events";
   m_dropped += events.size();
 }
 
