--- a/src/instance/cell_instance.cc
+++ b/src/instance/cell_instance.cc
@@ -260,8 +260,9 @@
                     m_now + kHeartbeatTimeout, [this](const PeerResult& result) {
                       if (!result.was_sent) m_election.OnLeaderConnectionRefused(m_now);
                       if (!result.is_answered || result.response.status != kStatusOk) return;
-                      if (const std::optional<Heartbeat> heartbeat = DecodeHeartbeat(result.response.body))
+                      if (const std::optional<Heartbeat> heartbeat = DecodeHeartbeat(result.response.body)) {
                         OnHeartbeat(*heartbeat);
+                      }
                     });
 }
 
