--- a/src/cell/policy_call_dispatcher_test.cc
+++ b/src/cell/policy_call_dispatcher_test.cc
@@ -29,39 +29,39 @@
 // Guards against previews that wait behind long calls because no instance is reserved for short ones.
 TEST(PolicyCallDispatcherTest, ReservesInstancesForShortCalls) {
   RecordingPolicyClient client;
-  PolicyCallDispatcher calls(client);
-  calls.SetPolicyCallers({"", "a", "b", "c", "d", "e", "f", "g"});
+  PolicyCallDispatcher dispatch(client);
+  dispatch.SetPolicyCallers({"", "a", "b", "c", "d", "e", "f", "g"});
   const Time now(Duration(1));
   int long_calls = 0;
-  for (int i = 0; i < 20; ++i) long_calls += calls.TryCall(MakeRequest(600), now, [](const PolicyReply&) {}) ? 1 : 0;
+  for (int i = 0; i < 20; ++i) long_calls += dispatch.TryCall(MakeRequest(600), now, [](const PolicyReply&) {}) ? 1 : 0;
   EXPECT_EQ(long_calls, 6);
-  EXPECT_TRUE(calls.TryCall(MakeRequest(17), now, [](const PolicyReply&) {}));
+  EXPECT_TRUE(dispatch.TryCall(MakeRequest(17), now, [](const PolicyReply&) {}));
 }
 
 // Guards against a second long call at an instance, which would wait for the first.
 TEST(PolicyCallDispatcherTest, MakesOneLongCallPerInstance) {
   RecordingPolicyClient client;
-  PolicyCallDispatcher calls(client);
-  calls.SetPolicyCallers({"", "a"});
+  PolicyCallDispatcher dispatch(client);
+  dispatch.SetPolicyCallers({"", "a"});
   const Time now(Duration(1));
-  EXPECT_TRUE(calls.TryCall(MakeRequest(600), now, [](const PolicyReply&) {}));
-  EXPECT_FALSE(calls.TryCall(MakeRequest(600), now, [](const PolicyReply&) {}));
+  EXPECT_TRUE(dispatch.TryCall(MakeRequest(600), now, [](const PolicyReply&) {}));
+  EXPECT_FALSE(dispatch.TryCall(MakeRequest(600), now, [](const PolicyReply&) {}));
   PolicyReply reply;
   reply.is_answered = true;
   client.calls.front().second(reply);
-  EXPECT_TRUE(calls.TryCall(MakeRequest(600), now, [](const PolicyReply&) {}));
+  EXPECT_TRUE(dispatch.TryCall(MakeRequest(600), now, [](const PolicyReply&) {}));
 }
 
 // Guards against repeated calls through an instance that does not reply.
 TEST(PolicyCallDispatcherTest, SkipsInstanceAfterMissingReply) {
   RecordingPolicyClient client;
-  PolicyCallDispatcher calls(client);
-  calls.SetPolicyCallers({"a"});
+  PolicyCallDispatcher dispatch(client);
+  dispatch.SetPolicyCallers({"a"});
   const Time now(Duration(1));
-  ASSERT_TRUE(calls.TryCall(MakeRequest(17), now, [](const PolicyReply&) {}));
+  ASSERT_TRUE(dispatch.TryCall(MakeRequest(17), now, [](const PolicyReply&) {}));
   client.calls.front().second({});
-  EXPECT_FALSE(calls.CanCall(17, now));
-  EXPECT_TRUE(calls.CanCall(17, now + std::chrono::seconds(2)));
+  EXPECT_FALSE(dispatch.CanCall(17, now));
+  EXPECT_TRUE(dispatch.CanCall(17, now + std::chrono::seconds(2)));
 }
 
 }  // namespace
